--- a/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
@@ -48,7 +48,7 @@
         body=body,
         key=key,
         received_s=instance.parts.clock.monotonic_s(),
-        patience_ms=_PATIENCE_MS,
+        caller_timeout_ms=_PATIENCE_MS,
         caller=caller,
     )
     return await instance.request(request)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
@@ -524,7 +524,7 @@
 
     def __init__(self, fleet: Fleet, sender: model.Address) -> None:
         """Keeps no connection."""
-        self.on_notice: attempts.Hear = attempts.hear_nothing
+        self.on_notice: attempts.NoticeHandler = attempts.ignore_notice
         self._fleet = fleet
         self._sender = sender
 
@@ -560,7 +560,7 @@
         timely = arrived_s - sent_s <= settings.held_up_s
         result = found.grant(first_key, last_key, token, until_s, timely=timely)
         await self._fleet.network.cross(server.address, self._sender)
-        self.on_notice(server, found.notice._replace(rest_s=0.0))
+        self.on_notice(server, found.notice._replace(backoff_s=0.0))
         return result
 
     async def release(
@@ -589,10 +589,10 @@
         if run_ended.is_set():
             return attempts.NoReply("the connection ended")
         await self._fleet.network.cross(server.address, self._sender)
-        self.on_notice(server, found.notice._replace(rest_s=0.0))
+        self.on_notice(server, found.notice._replace(backoff_s=0.0))
         return attempts.Released("state")
 
-    async def reach(self, server: model.BackendServer) -> bool:
+    async def can_connect(self, server: model.BackendServer) -> bool:
         """Returns whether a connection can be made; gives no order."""
         return isinstance(await self._reach(server), EmulatedServer)
 
@@ -617,7 +617,7 @@
         self, fleet: Fleet, sender: model.Address, clock: clocks.Clock
     ) -> None:
         """Knows no run of any server."""
-        self.on_notice: attempts.Hear = attempts.hear_nothing
+        self.on_notice: attempts.NoticeHandler = attempts.ignore_notice
         self._fleet = fleet
         self._sender = sender
         self._clock = clock
@@ -625,7 +625,7 @@
         # on the instance's clock; always, if the server has told how it is.
         self._kept: dict[model.Address, tuple[int, float]] = {}
 
-    async def ask_warmup_s(
+    async def query_warmup_left_s(
         self,
         server: model.BackendServer,
         path: str,
@@ -653,7 +653,7 @@
         self,
         server: model.BackendServer,
         request: attempts.EntryRequest,
-        left_ms: float,
+        remaining_ms: float,
         may_send: attempts.MaySend,
     ) -> attempts.Attempt | attempts.Withheld:
         """Sends one request."""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
@@ -79,7 +79,7 @@
             body=b"",
             key=self._rng.choice(self._keys),
             received_s=instance.parts.clock.monotonic_s(),
-            patience_ms=_PATIENCE_MS,
+            caller_timeout_ms=_PATIENCE_MS,
             caller="10.9.0.1",
         )
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -87,8 +87,8 @@
         self.book = servers_lib.ServerBook(
             servers_lib.ServerSettings(), self.settings.bounds, journal, clock
         )
-        self.backend_client.on_notice = self.book.notices.hear
-        self.lease_client.on_notice = self.book.notices.hear
+        self.backend_client.on_notice = self.book.notices.record
+        self.lease_client.on_notice = self.book.notices.record
         self.table = keymap.KeyTable(journal)
         self.issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(),
@@ -145,7 +145,7 @@
             journal,
             clock,
         )
-        self.dispatcher.list_heard_s = lambda: self.beliefs.list_heard_s
+        self.dispatcher.list_confirmed_s = lambda: self.beliefs.list_heard_s
         self._certainty = warmups.IssuerCertainty(
             warmups.WarmupSettings(),
             self.settings.peer_address,
--- a/libs/bridgecross-entry/src/bridgecross_entry/attempts.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/attempts.py
@@ -31,7 +31,7 @@
     # When its head had been read, on the monotonic clock.
     received_s: float
     # How long the caller waits for the answer.
-    patience_ms: float | None
+    caller_timeout_ms: float | None
     # The host that it came from; empty if that is not known.
     caller: str = ""
 
@@ -90,16 +90,16 @@
     # Whether its run is leaving.
     is_leaving: bool = False
     # For how long it wants to be left alone by whoever it answers; 0 if not.
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     # Why something that it says counts for nothing; empty if all is well.
     problem: str = ""
 
 
-Hear = Callable[[model.BackendServer, Notice], None]
+NoticeHandler = Callable[[model.BackendServer, Notice], None]
 """Told what a server says of itself; must not fail, and returns at once."""
 
 
-def hear_nothing(server: model.BackendServer, notice: Notice) -> None:
+def ignore_notice(server: model.BackendServer, notice: Notice) -> None:
     """Takes in nothing of what a server says."""
     del server, notice
 
@@ -107,7 +107,7 @@
 class BackendClient(Protocol):
     """Sends requests to backend servers."""
 
-    on_notice: Hear
+    on_notice: NoticeHandler
     """Told by each answer of the server that was meant, as soon as it is read:
     also if whoever waited for it has been cancelled at the same moment."""
 
@@ -115,7 +115,7 @@
         self,
         server: model.BackendServer,
         request: EntryRequest,
-        left_ms: float,
+        remaining_ms: float,
         may_send: MaySend,
     ) -> Attempt | Withheld:
         """Sends one request; cancelling it tells the server to stop."""
@@ -123,7 +123,7 @@
     def is_connected(self, server: model.BackendServer) -> bool:
         """Whether a kept connection to a server is free."""
 
-    async def ask_warmup_s(
+    async def query_warmup_left_s(
         self,
         server: model.BackendServer,
         path: str,
@@ -219,7 +219,7 @@
 class LeaseClient(Protocol):
     """Gives ranges of keys to backend servers and takes them back."""
 
-    on_notice: Hear
+    on_notice: NoticeHandler
     """Told by each answer, as ``BackendClient.on_notice`` is."""
 
     def sweep(self, known: Container[ids.ServerId]) -> None:
@@ -237,7 +237,7 @@
     ) -> GrantResult:
         """Gives or renews a range; both ends are inside."""
 
-    async def reach(self, server: model.BackendServer) -> bool:
+    async def can_connect(self, server: model.BackendServer) -> bool:
         """Returns whether a connection can be made; gives no order."""
 
     async def release(
--- a/libs/bridgecross-entry/src/bridgecross_entry/caller_age.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/caller_age.py
@@ -32,7 +32,7 @@
     agreed_count: int = 3
 
 
-class CallerAge:
+class CallerAgeEstimator:
     """Learns the time that the callers of one route start with."""
 
     def __init__(self, settings: CallerAgeSettings) -> None:
@@ -44,9 +44,9 @@
         self._sample: collections.deque[int] = collections.deque()
         self._counts: collections.Counter[int] = collections.Counter()
 
-    def note(self, patience_ms: float) -> None:
+    def note(self, caller_timeout_ms: float) -> None:
         """Counts an attempt whose caller will wait for so long."""
-        step = self._to_step(patience_ms)
+        step = self._to_step(caller_timeout_ms)
         self._sample.append(step)
         self._counts[step] += 1
         if len(self._sample) > self._settings.sample_count:
@@ -55,15 +55,15 @@
             if not self._counts[oldest]:
                 del self._counts[oldest]
 
-    def age_s(self, patience_ms: float | None) -> float:
+    def age_s(self, caller_timeout_ms: float | None) -> float:
         """Returns how long a caller has waited that will wait for so long.
 
         Zero for a first attempt.
         """
         usual_ms = self._usual_ms()
-        if patience_ms is None or usual_ms is None:
+        if caller_timeout_ms is None or usual_ms is None:
             return 0.0
-        missing_ms = usual_ms - patience_ms
+        missing_ms = usual_ms - caller_timeout_ms
         if missing_ms <= self._settings.same_ratio * usual_ms:
             return 0.0
         return missing_ms / 1_000
@@ -78,6 +78,6 @@
             return None
         return math.exp((max(agreed) + 1) * self._step)
 
-    def _to_step(self, patience_ms: float) -> int:
+    def _to_step(self, caller_timeout_ms: float) -> int:
         """Returns where a time stands among the steps."""
-        return int(math.log(max(patience_ms, 1.0)) / self._step)
+        return int(math.log(max(caller_timeout_ms, 1.0)) / self._step)
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -304,7 +304,7 @@
 
     async def _is_refusing(self, server: model.BackendServer) -> bool:
         """Whether nobody listens at a server's address any more."""
-        if self._book.notices.is_resting(server.server_id):
+        if self._book.notices.wants_backoff(server.server_id):
             return False
         if not await self._client.is_refusing(server):
             return False
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -18,7 +18,6 @@
 from bridgecross_entry import admission
 from bridgecross_entry import attempts
 from bridgecross_entry import caller_age
-from bridgecross_entry import choosing
 from bridgecross_entry import crash_watch
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -29,6 +28,7 @@
 from bridgecross_entry import permits as permits_lib
 from bridgecross_entry import retry_budget
 from bridgecross_entry import routes
+from bridgecross_entry import server_selection
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tally as tallies
 from bridgecross_entry import warmups as warmups_lib
@@ -76,8 +76,8 @@
     # within this time after it: at once, they would fill it again.
     rest_spread_s: float = 0.25
     # How servers are weighed against each other.
-    choice: choosing.ChoiceSettings = dataclasses.field(
-        default_factory=choosing.ChoiceSettings
+    choice: server_selection.SelectionSettings = dataclasses.field(
+        default_factory=server_selection.SelectionSettings
     )
     # How the age of callers is learned, and how rooms follow the list.
     ages: caller_age.CallerAgeSettings = dataclasses.field(
@@ -167,11 +167,11 @@
         self.instance_count = 1
         self.loads: dict[ids.ServiceName, load.LoadCounter] = {}
         # When the list of servers was last known to be the newest one.
-        self.list_heard_s: Callable[[], float | None] = lambda: None
+        self.list_confirmed_s: Callable[[], float | None] = lambda: None
         # How long ago it was known that the configuration is the newest one.
         self.configuration_age_s: Callable[[], float] = lambda: 0.0
         # When this instance ends at the latest, on the monotonic clock.
-        self.ends_s = math.inf
+        self.shutdown_deadline_s = math.inf
         self.in_flight_count = 0
         self.tally = tallies.RequestTally(journal)
         self._settings = settings
@@ -193,8 +193,8 @@
             clock,
         )
         self._budgets: dict[ids.ServiceName, retry_budget.RetryBudget] = {}
-        self._ages: dict[str, caller_age.CallerAge] = {}
-        self._choice = choosing.ServerChoice(
+        self._ages: dict[str, caller_age.CallerAgeEstimator] = {}
+        self._choice = server_selection.ServerSelector(
             settings.choice, instance, book, client, clock
         )
         self._queues = admission.ServiceQueues(settings.rooms, book, clock)
@@ -222,7 +222,7 @@
         if route is None:
             return self._deny(request, self.routes.configuration.version)
         life = self._begin(request, route)
-        if life.deadline_s > self.ends_s:
+        if life.deadline_s > self.shutdown_deadline_s:
             return self._turn_away(life)
         left_s = life.deadline_s - self._clock.monotonic_s()
         outcome: outcomes.Outcome | None = None
@@ -281,8 +281,8 @@
         assert self.routes is not None  # by the caller
         service = self.routes.pick_service(route)
         hold_ms = route.timeout_ms
-        if request.patience_ms is not None:
-            hold_ms = min(hold_ms, request.patience_ms)
+        if request.caller_timeout_ms is not None:
+            hold_ms = min(hold_ms, request.caller_timeout_ms)
         self._budget(service).count_request(self._clock.monotonic_s())
         age_s = self._age_s(request, route)
         target_s = request.received_s - age_s + route.target_latency_ms / 1_000
@@ -303,11 +303,11 @@
         """Returns how long the caller had waited when the request came."""
         ages = self._ages.get(route.name)
         if ages is None:
-            ages = caller_age.CallerAge(self._settings.ages)
+            ages = caller_age.CallerAgeEstimator(self._settings.ages)
             self._ages[route.name] = ages
-        if request.patience_ms is not None:
-            ages.note(request.patience_ms)
-        return ages.age_s(request.patience_ms)
+        if request.caller_timeout_ms is not None:
+            ages.note(request.caller_timeout_ms)
+        return ages.age_s(request.caller_timeout_ms)
 
     async def _try(self, life: _Life) -> outcomes.Outcome:
         """Tries servers until one answers or none is left to try."""
@@ -372,7 +372,7 @@
 
     async def _try_any(self, life: _Life) -> outcomes.Outcome | None:
         """Tries a server of a service without keys, once it has room."""
-        if life.shed_by is not None or self._book.notices.are_any_resting:
+        if life.shed_by is not None or self._book.notices.any_wants_backoff:
             usable = self._choice.list_usable(life.route, life.service)
             refusal = self._refuse_full(life, usable)
             if refusal is not None:
@@ -468,7 +468,7 @@
         self, life: _Life, servers: Sequence[servers_lib.Server]
     ) -> outcomes.NotRun:
         """Refuses a request whose servers all want to be left alone."""
-        left_s = self._choice.rest_left_s(servers)
+        left_s = self._choice.backoff_left_s(servers)
         # Those that are told so at the same time do not come back at once.
         left_s += random.uniform(0.0, self._settings.rest_spread_s)
         life.trail.append("its servers want to be left alone")
@@ -574,7 +574,9 @@
                     "the owner of the key is in another area",
                     settings.retry_again_after_ms,
                 )
-            if owner and self._book.notices.has_left(owner.server_id, now_s):
+            if owner and self._book.notices.is_past_drain_limit(
+                owner.server_id, now_s
+            ):
                 # Its keys have not moved in all that time; nobody knows when.
                 life.trail.append(f"{owner.server_id}: said that it leaves")
                 return self._refuse(
@@ -720,7 +722,7 @@
             return False
         if self.watch.ledger.refused_for_s(life.subject):
             return False
-        if self._book.notices.is_resting(server.listed.server_id):
+        if self._book.notices.wants_backoff(server.listed.server_id):
             reason = "it rests"
         elif not self._still_right(life, server, now_s, keyed=keyed):
             reason = "left meanwhile"
@@ -746,7 +748,7 @@
         has started again under its name.
         """
         service = self._book.service_of(server)
-        heard_s = self.list_heard_s()
+        heard_s = self.list_confirmed_s()
         if service is None or service.warmup_rate_per_s is None:
             return True
         now_s = self._clock.monotonic_s()
@@ -754,7 +756,7 @@
             return True
         if now_s - heard_s < self._settings.list_doubt_age_s:
             return True
-        left_s = await self._client.ask_warmup_s(
+        left_s = await self._client.query_warmup_left_s(
             server.listed, service.health_path, heard_s, may_send
         )
         if left_s is None and not may_send():
@@ -818,7 +820,7 @@
             life.shed_by = server_id
             server.note_answer(held_s, failed=True)
             server.shrink_room(now_s)
-            rest_s = self._book.notices.rest_left_s(server_id)
+            rest_s = self._book.notices.backoff_left_s(server_id)
             asks = f", asks for {rest_s:.1f} s of rest" if rest_s else ""
             life.trail.append(f"{server_id}: shed with {result.status}{asks}")
         else:
--- a/libs/bridgecross-entry/src/bridgecross_entry/duties.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/duties.py
@@ -175,7 +175,7 @@
             ),
             self._take_map,
             self._take_settled,
-            self._relayer.take,
+            self._relayer.receive,
             self._journal,
         )
 
@@ -189,7 +189,7 @@
         self._relayer.resigns = True
         if self._leadership.is_leader:
             self._leadership.resign()
-            await self._relayer.tell(self._tasks)
+            await self._relayer.broadcast(self._tasks)
 
     async def _match_on_news(self) -> None:
         """Starts coordinators once enough is known, in whatever order.
--- a/libs/bridgecross-entry/src/bridgecross_entry/exchange.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/exchange.py
@@ -129,7 +129,7 @@
         # From when on it has led to the same process of the other side; its own
         # opening, unless the other side has told since how it is.
         self.opened_s = opened_s
-        self.is_vouched_for = False
+        self.is_verified = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keeps the transport and bounds silence of the peer."""
@@ -296,7 +296,7 @@
     since_s: float
 
 
-class Pool:
+class ConnectionPool:
     """The connections of this process to one address."""
 
     def __init__(
@@ -358,11 +358,11 @@
         return bool(self._idle)
 
     @property
-    def is_standing(self) -> bool:
+    def has_open_connection(self) -> bool:
         """Whether a kept connection has not been closed by the other side."""
         return any(idle.connection.usable for idle in self._idle)
 
-    def prefer_known(self, known_s: float) -> bool:
+    def prefer_verified(self, known_s: float) -> bool:
         """Lets the next exchange go by a connection that is vouched for.
 
         Args:
@@ -375,15 +375,13 @@
         for index in reversed(range(len(self._idle))):
             idle = self._idle[index]
             connection = idle.connection
-            is_known = (
-                connection.is_vouched_for or connection.opened_s <= known_s
-            )
+            is_known = connection.is_verified or connection.opened_s <= known_s
             if is_known and self._is_fresh(idle, now_s):
                 self._idle.append(self._idle.pop(index))
                 return True
         return False
 
-    async def exchange_anew(
+    async def exchange_on_new_connection(
         self, request: bytes, accepts: Accepts, may_send: MaySend = _always
     ) -> Result:
         """Sends one request by a new connection, and vouches for it.
@@ -407,13 +405,13 @@
             opened.abort()
             raise
         if isinstance(result, Reply) and opened.usable:
-            opened.is_vouched_for = True
+            opened.is_verified = True
             self._keep(opened)
             return result
         opened.abort()
         return Broken("the connection was not kept")
 
-    async def reach(self) -> Unsent | None:
+    async def connect(self) -> Unsent | None:
         """Makes a connection and keeps it; returns why there is none."""
         opened = await self._open()
         if isinstance(opened, Unsent):
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -360,7 +360,7 @@
         """Returns whether a silent server can be reached again."""
         reached = False
         with anyio.move_on_after(self._settings.grant_timeout_s):
-            reached = await self._client.reach(server.listed)
+            reached = await self._client.can_connect(server.listed)
         server_id = server.listed.server_id
         if reached:
             self._silent.pop(server_id, None)
--- a/libs/bridgecross-entry/src/bridgecross_entry/notices.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/notices.py
@@ -33,7 +33,7 @@
     leaving_use_ratio: float = 0.8
     # A rest is kept for as many times as long as was asked: clocks that run
     # slow by 2% are within the platform's promises.
-    rest_clock_ratio: float = 1.02
+    backoff_clock_ratio: float = 1.02
 
 
 class Notices:
@@ -60,7 +60,7 @@
         self._leaving_use_s = (
             bounds.drain_ms / 1_000 * settings.leaving_use_ratio
         )
-        self._rest_clock_ratio = settings.rest_clock_ratio
+        self._rest_clock_ratio = settings.backoff_clock_ratio
         self._on_leaving = on_leaving
         self._journal = journal
         self._clock = clock
@@ -78,7 +78,7 @@
         return len(self._leaving_told_s)
 
     @property
-    def resting_count(self) -> int:
+    def backoff_count(self) -> int:
         """How many runs want to be left alone at this moment."""
         now_s = self._clock.monotonic_s()
         return sum(until_s > now_s for until_s in self._rest_until_s.values())
@@ -87,7 +87,9 @@
         """Whether a run has said that it leaves."""
         return server_id in self._leaving_told_s
 
-    def has_left(self, server_id: ids.ServerId, now_s: float) -> bool:
+    def is_past_drain_limit(
+        self, server_id: ids.ServerId, now_s: float
+    ) -> bool:
         """Whether a run said so long ago that it leaves that it gets nothing.
 
         No entry of the list undoes that, only another run.
@@ -96,22 +98,22 @@
         return told_s is not None and now_s >= told_s + self._leaving_use_s
 
     @property
-    def are_any_resting(self) -> bool:
+    def any_wants_backoff(self) -> bool:
         """Whether any run wants to be left alone at this moment."""
         return self._clock.monotonic_s() < self._all_rested_s
 
-    def is_resting(self, server_id: ids.ServerId) -> bool:
+    def wants_backoff(self, server_id: ids.ServerId) -> bool:
         """Whether a run wants to be left alone by this instance."""
-        return self.rest_left_s(server_id) > 0
+        return self.backoff_left_s(server_id) > 0
 
-    def rest_left_s(self, server_id: ids.ServerId) -> float:
+    def backoff_left_s(self, server_id: ids.ServerId) -> float:
         """Returns for how long a run wants to be left alone; 0 if not."""
         until_s = self._rest_until_s.get(server_id)
         if until_s is None:
             return 0.0
         return max(until_s - self._clock.monotonic_s(), 0.0)
 
-    def hear(
+    def record(
         self, server: model.BackendServer, notice: attempts.Notice
     ) -> None:
         """Takes in what a server said in an answer."""
@@ -123,8 +125,8 @@
             )
         if notice.is_leaving:
             self._take_leaving(server)
-        if notice.rest_s > 0:
-            self._take_rest(server, notice.rest_s)
+        if notice.backoff_s > 0:
+            self._take_rest(server, notice.backoff_s)
 
     def _take_leaving(self, server: model.BackendServer) -> None:
         """Takes in that a run is leaving; the first word of it counts."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/peers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/peers.py
@@ -277,7 +277,7 @@
     def _make_pool(self, address: model.Address) -> exchange.Exchanger:
         """Returns the connections to an address."""
         settings = exchange.ConnectionSettings(drops_idle_on_timeout=True)
-        return exchange.Pool(address, settings, self._clock)
+        return exchange.ConnectionPool(address, settings, self._clock)
 
     async def _call(
         self, address: model.Address, path: bytes, body: bytes
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
@@ -421,7 +421,7 @@
             idle_timeout_s=self._settings.idle_timeout_s,
             drops_idle_on_timeout=True,
         )
-        return exchange.Pool(address, settings, self._clock)
+        return exchange.ConnectionPool(address, settings, self._clock)
 
 
 def _usable(
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -236,7 +236,7 @@
 
         Whoever asks for a permit may not have been told, but would be.
         """
-        return self._book.notices.rest_left_s(server.listed.server_id)
+        return self._book.notices.backoff_left_s(server.listed.server_id)
 
     # Cold servers.
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -35,11 +35,11 @@
     # Of how many others the leader asks at a time what they know of topics
     # that it cannot read: two thirds of them are likely to know, and answers of
     # all of them at once would fill its link.
-    asked_count: int = 4
+    polled_count: int = 4
     # What is longer goes out beside the regular words, so that one instance
     # on a weak link does not hold up the next word to all: 60 KB take 0.1 s
     # at 5 Mbit/s.
-    word_max_bytes: int = 60_000
+    message_max_bytes: int = 60_000
 
 
 _NO_VOICE = peers.Reception.ENDED
@@ -124,9 +124,9 @@
                 if not self._leadership.is_leader:
                     self._known.clear()
                 elif self._beliefs.is_complete:
-                    await self.tell(tasks)
+                    await self.broadcast(tasks)
 
-    async def tell(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def broadcast(self, tasks: anyio.abc.TaskGroup) -> None:
         """Speaks to every instance once, and counts who follows.
 
         Args:
@@ -175,7 +175,7 @@
             return self._beliefs.knows_instances
         return not self._beliefs.instances_are_lost
 
-    def take(
+    def receive(
         self, relay: peers.Relay, echo: peers.Echo | None
     ) -> peers.RelayReply | None:
         """Takes another instance's word; returns the answer.
@@ -218,7 +218,7 @@
         addresses = self._addresses()
         if not addresses or not self._beliefs.has_lost_a_topic:
             return set()
-        count = min(self._settings.asked_count, len(addresses))
+        count = min(self._settings.polled_count, len(addresses))
         first = self._asked_last
         self._asked_last = (first + count) % len(addresses)
         return {addresses[(first + n) % len(addresses)] for n in range(count)}
@@ -230,7 +230,7 @@
         less answers so, and is told the rest beside the words.
         """
         word = self._encode(known, asks=asks)
-        if len(word.encoded) <= self._settings.word_max_bytes:
+        if len(word.encoded) <= self._settings.message_max_bytes:
             return word
         return self._encode(self._beliefs.offsets(), asks=asks)
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -140,7 +140,7 @@
         self._stopping = True
         self._edge.draining = True
         end_s = begun_s + grace_s - self._settings.drain_margin_s
-        self._parts.dispatcher.ends_s = end_s
+        self._parts.dispatcher.shutdown_deadline_s = end_s
         self._parts.issuer.is_stopping = True
         await self._parts.duties.give_up()
         accept_until_s = begun_s + grace_s * self._settings.drain_accept_ratio
@@ -207,7 +207,7 @@
         beliefs.set({"what": "evacuated_domains"}, len(evacuated))
         notices = self._parts.book.notices
         beliefs.set({"what": "servers_said_leaving"}, notices.leaving_count)
-        beliefs.set({"what": "servers_resting"}, notices.resting_count)
+        beliefs.set({"what": "servers_resting"}, notices.backoff_count)
         beliefs.set(
             {"what": "instances"}, self._parts.dispatcher.instance_count
         )
--- a/libs/bridgecross-entry/src/bridgecross_entry/choosing.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_selection.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChoiceSettings:
+class SelectionSettings:
     """How servers are weighed against each other."""
 
     # The share by which a server looks slower that a connection must first be
@@ -21,12 +21,12 @@
     connect_penalty_ratio: float = 0.25
 
 
-class ServerChoice:
+class ServerSelector:
     """Chooses among the servers that an instance knows."""
 
     def __init__(
         self,
-        settings: ChoiceSettings,
+        settings: SelectionSettings,
         instance: model.InstanceSettings,
         book: servers_lib.ServerBook,
         client: attempts.BackendClient,
@@ -72,10 +72,10 @@
     ) -> list[servers_lib.Server]:
         """Returns those servers that do not want to be left alone."""
         notices = self._book.notices
-        if not notices.are_any_resting:
+        if not notices.any_wants_backoff:
             return list(servers)
         return [
-            s for s in servers if not notices.is_resting(s.listed.server_id)
+            s for s in servers if not notices.wants_backoff(s.listed.server_id)
         ]
 
     def list_with_room(
@@ -95,17 +95,17 @@
     def resting_ids(self, service: ids.ServiceName) -> set[ids.ServerId]:
         """Returns which servers of a service want to be left alone."""
         notices = self._book.notices
-        if not notices.are_any_resting:
+        if not notices.any_wants_backoff:
             return set()
         servers = self._book.of_service(service)
         known = [server.listed.server_id for server in servers]
-        return set(filter(notices.is_resting, known))
+        return set(filter(notices.wants_backoff, known))
 
-    def rest_left_s(self, servers: Sequence[servers_lib.Server]) -> float:
+    def backoff_left_s(self, servers: Sequence[servers_lib.Server]) -> float:
         """Returns how long until the first of some servers has rested."""
-        rest_left_s = self._book.notices.rest_left_s
+        backoff_left_s = self._book.notices.backoff_left_s
         return min(
-            (rest_left_s(s.listed.server_id) for s in servers), default=0
+            (backoff_left_s(s.listed.server_id) for s in servers), default=0
         )
 
     def are_cold(self, servers: Sequence[servers_lib.Server]) -> bool:
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -518,7 +518,7 @@
         domain = server.listed.failure_domain
         if server.ended or not self.evacuations.may_serve_keys(domain, now_s):
             return False
-        if self.notices.has_left(server.listed.server_id, now_s):
+        if self.notices.is_past_drain_limit(server.listed.server_id, now_s):
             return False
         if since_s is None:
             return True
--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -194,7 +194,7 @@
         self.grants = kept
         return attempts.Released("state")
 
-    async def reach(self, server):
+    async def can_connect(self, server):
         return server.name not in self.silent | self.ended
 
     def sweep(self, known):
--- a/libs/bridgecross-entry/tests/test_caller_age.py
+++ b/libs/bridgecross-entry/tests/test_caller_age.py
@@ -5,8 +5,8 @@
 from bridgecross_entry import caller_age
 
 
-def _ages(*stated_ms: float) -> caller_age.CallerAge:
-    ages = caller_age.CallerAge(caller_age.CallerAgeSettings())
+def _ages(*stated_ms: float) -> caller_age.CallerAgeEstimator:
+    ages = caller_age.CallerAgeEstimator(caller_age.CallerAgeSettings())
     for each in stated_ms:
         ages.note(each)
     return ages
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -64,7 +64,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         leaving = attempts.Notice(is_leaving=True)
-        bench.book.notices.hear(support.make_server("a"), leaving)
+        bench.book.notices.record(support.make_server("a"), leaving)
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
@@ -603,7 +603,7 @@
 class HungServers(fakes.LeaseServers):
     """Silent ones still take connections: their kernels do."""
 
-    async def reach(self, server):
+    async def can_connect(self, server):
         return server.name not in self.ended
 
 
--- a/libs/bridgecross-entry/tests/test_crash_watch.py
+++ b/libs/bridgecross-entry/tests/test_crash_watch.py
@@ -157,7 +157,7 @@
 async def test_one_that_wants_to_be_left_alone_is_not_looked_at():
     """A look makes a connection, which takes it some of its room."""
     scene = Scene(True, True)
-    scene.book.notices.hear(scene.server, attempts.Notice(rest_s=3.0))
+    scene.book.notices.record(scene.server, attempts.Notice(backoff_s=3.0))
     assert await _play(scene, BROKEN) == 0
     assert scene.backends.looks_count == 0
 
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -33,14 +33,14 @@
     def __init__(self, *script: attempts.Attempt | None) -> None:
         self.script = list(script)
         self.sent: list[str] = []
-        self.left_ms: list[float] = []
+        self.remaining_ms: list[float] = []
         self.cancelled = 0
 
-    async def send(self, server, request, left_ms, may_send):
+    async def send(self, server, request, remaining_ms, may_send):
         if not may_send():
             return attempts.Withheld()
         self.sent.append(server.server_id)
-        self.left_ms.append(left_ms)
+        self.remaining_ms.append(remaining_ms)
         answer = self.script.pop(0)
         if answer is not None:
             return answer
@@ -112,7 +112,7 @@
             "test",
         )
 
-    async def ask(self, *, path="/a/x", patience_ms=400.0):
+    async def ask(self, *, path="/a/x", caller_timeout_ms=400.0):
         request = attempts.EntryRequest(
             request_id="id1",
             method=b"GET",
@@ -123,7 +123,7 @@
             body=b"",
             key=7,
             received_s=clock.SystemClock().monotonic_s(),
-            patience_ms=patience_ms,
+            caller_timeout_ms=caller_timeout_ms,
         )
         return await self.dispatcher.run(request)
 
@@ -207,20 +207,22 @@
 
 
 @pytest.mark.parametrize(
-    ("timeout_ms", "patience_ms"),
+    ("timeout_ms", "caller_timeout_ms"),
     [
         pytest.param(60, 5_000.0, id="of the route"),
         pytest.param(5_000, 60.0, id="of the caller"),
     ],
 )
-async def test_the_shorter_time_bounds_everything(timeout_ms, patience_ms):
+async def test_the_shorter_time_bounds_everything(
+    timeout_ms, caller_timeout_ms
+):
     backends = Backends(None)
     scene = Scene(backends, timeout_ms=timeout_ms)
     with anyio.fail_after(0.5):
-        outcome = await scene.ask(patience_ms=patience_ms)
+        outcome = await scene.ask(caller_timeout_ms=caller_timeout_ms)
     assert outcome == outcomes.Unknown("no answer came in time", 504)
     assert backends.cancelled == 1
-    assert backends.left_ms[0] <= 60
+    assert backends.remaining_ms[0] <= 60
 
 
 @pytest.mark.parametrize("keyed", [True, False])
@@ -229,7 +231,7 @@
     backends = Backends(OK)
     scene = Scene(backends, keyed=keyed)
     scene.put_map(1, _owned_by("a"))
-    outcome = await scene.ask(patience_ms=0.0)
+    outcome = await scene.ask(caller_timeout_ms=0.0)
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.status == 503
     assert not backends.sent
@@ -241,13 +243,13 @@
     scene = Scene(backends)
     send = backends.send
 
-    async def send_and_stand_still(server, request, left_ms, may_send):
-        result = await send(server, request, left_ms, may_send)
+    async def send_and_stand_still(server, request, remaining_ms, may_send):
+        result = await send(server, request, remaining_ms, may_send)
         time.sleep(0.1)  # noqa: ASYNC251 (the process stands still)
         return result
 
     backends.send = send_and_stand_still
-    outcome = await scene.ask(patience_ms=50.0)
+    outcome = await scene.ask(caller_timeout_ms=50.0)
     assert isinstance(outcome, outcomes.NotRun)
     assert len(backends.sent) == 1
 
@@ -256,21 +258,23 @@
     """One that was taken 4 s before the end waited 6 s at its server."""
     backends = Backends(OK)
     scene = Scene(backends)
-    scene.dispatcher.ends_s = clock.SystemClock().monotonic_s() + 0.3
-    refused = await scene.ask(patience_ms=400.0)
+    scene.dispatcher.shutdown_deadline_s = (
+        clock.SystemClock().monotonic_s() + 0.3
+    )
+    refused = await scene.ask(caller_timeout_ms=400.0)
     assert isinstance(refused, outcomes.NotRun)
     assert refused.status == 503
     assert 0 < refused.retry_after_ms < 10
     assert not backends.sent
-    assert await scene.ask(patience_ms=200.0) == OK
+    assert await scene.ask(caller_timeout_ms=200.0) == OK
 
 
 async def test_what_a_stopping_instance_has_taken_ends_before_it_does():
     backends = Backends(None)
     scene = Scene(backends)
     ends_s = clock.SystemClock().monotonic_s() + 0.2
-    scene.dispatcher.ends_s = ends_s
-    outcome = await scene.ask(patience_ms=100.0)
+    scene.dispatcher.shutdown_deadline_s = ends_s
+    outcome = await scene.ask(caller_timeout_ms=100.0)
     assert outcome == outcomes.Unknown("no answer came in time", 504)
     assert clock.SystemClock().monotonic_s() < ends_s
 
@@ -369,7 +373,7 @@
     scene = Scene(backends, keyed=True)
     scene.put_map(1, _owned_by("a"))
     begun_s = anyio.current_time()
-    outcome = await scene.ask(patience_ms=1_000)
+    outcome = await scene.ask(caller_timeout_ms=1_000)
     assert outcome.status == 200
     assert anyio.current_time() - begun_s > 0.05 + 0.1 + 0.2 - 0.02
 
@@ -379,8 +383,8 @@
     scene = Scene(Backends(), keyed=True)
     scene.put_map(1, _owned_by("gone"))
     for _ in range(3):
-        first = await scene.ask(patience_ms=2_500)
-    again = await scene.ask(patience_ms=2_200)
+        first = await scene.ask(caller_timeout_ms=2_500)
+    again = await scene.ask(caller_timeout_ms=2_200)
     assert isinstance(first, outcomes.NotRun)
     assert isinstance(again, outcomes.NotRun)
     assert first.retry_after_ms == 100
--- a/libs/bridgecross-entry/tests/test_dispatch_notices.py
+++ b/libs/bridgecross-entry/tests/test_dispatch_notices.py
@@ -28,7 +28,7 @@
 
 def _tell(scene, notice, told):
     for each in told:
-        scene.book.notices.hear(each, notice)
+        scene.book.notices.record(each, notice)
 
 
 async def test_others_are_taken_before_one_that_says_it_leaves():
@@ -87,7 +87,7 @@
         async def wait():
             waited.append(await scene.ask())
 
-        tasks.start_soon(lambda: scene.ask(patience_ms=100.0))
+        tasks.start_soon(lambda: scene.ask(caller_timeout_ms=100.0))
         await anyio.sleep(0.01)
         tasks.start_soon(wait)
         await anyio.sleep(0.01)
@@ -97,7 +97,7 @@
 
 
 REST_S = 3.0
-REST = attempts.Notice(rest_s=REST_S)
+REST = attempts.Notice(backoff_s=REST_S)
 
 
 class Full(scenes.Backends):
@@ -108,12 +108,12 @@
         self.rests_s = rests_s
         self.hear = None
 
-    async def send(self, server, request, left_ms, may_send):
+    async def send(self, server, request, remaining_ms, may_send):
         rest_s = self.rests_s.get(server.name)
         self.script = [scenes.OK if rest_s is None else scenes.SHED]
-        result = await super().send(server, request, left_ms, may_send)
+        result = await super().send(server, request, remaining_ms, may_send)
         if rest_s is not None and result is scenes.SHED:
-            self.hear(server, attempts.Notice(rest_s=rest_s))
+            self.hear(server, attempts.Notice(backoff_s=rest_s))
         return result
 
 
@@ -121,7 +121,7 @@
     backends = Full(**rests_s)
     scene = scenes.Scene(backends, keyed=keyed)
     scene.put_map(1, scenes._owned_by("a"))
-    backends.hear = scene.book.notices.hear
+    backends.hear = scene.book.notices.record
     return backends, scene
 
 
@@ -160,7 +160,7 @@
 )
 async def test_a_server_is_used_again_after_its_rest(keyed):
     backends, scene = _make_full(keyed=keyed)
-    _tell(scene, attempts.Notice(rest_s=0.05), [A, B])
+    _tell(scene, attempts.Notice(backoff_s=0.05), [A, B])
     assert isinstance(await scene.ask(), outcomes.NotRun)
     await anyio.sleep(0.1)
     assert await scene.ask() is scenes.OK
@@ -179,7 +179,7 @@
         async def wait():
             waited.append(await scene.ask())
 
-        tasks.start_soon(lambda: scene.ask(patience_ms=100.0))
+        tasks.start_soon(lambda: scene.ask(caller_timeout_ms=100.0))
         await anyio.sleep(0.01)
         tasks.start_soon(wait)
         await anyio.sleep(0.01)
@@ -192,7 +192,7 @@
     backends = scenes.Backends(scenes.FAILED)
     scene = scenes.Scene(backends)
 
-    async def send(server, request, left_ms, may_send):
+    async def send(server, request, remaining_ms, may_send):
         _tell(scene, REST, [A, B])
         return scenes.FAILED
 
@@ -285,8 +285,8 @@
     scene.put_map(1, scenes._owned_by("a"))
     send = backends.send
 
-    async def send_and_move(server, request, left_ms, may_send):
-        result = await send(server, request, left_ms, may_send)
+    async def send_and_move(server, request, remaining_ms, may_send):
+        result = await send(server, request, remaining_ms, may_send)
         scene.put_map(2, scenes._owned_by("b", 2))
         return result
 
--- a/libs/bridgecross-entry/tests/test_exchange.py
+++ b/libs/bridgecross-entry/tests/test_exchange.py
@@ -55,7 +55,7 @@
     # What a process that stands still while it connects makes of it has a test
     # of its own; here it would hide what the test is about.
     settings = exchange.ConnectionSettings(connect_timeout_s=10.0)
-    pool = exchange.Pool(address, settings, clock.SystemClock())
+    pool = exchange.ConnectionPool(address, settings, clock.SystemClock())
     try:
         yield pool, used
     finally:
@@ -63,7 +63,9 @@
         server.close()
 
 
-async def _ask(pool: exchange.Pool, name: bytes = b"1") -> exchange.Result:
+async def _ask(
+    pool: exchange.ConnectionPool, name: bytes = b"1"
+) -> exchange.Result:
     def accepts(reply: exchange.Reply) -> bool:
         return reply.header(b"request-id") in {None, name}
 
@@ -117,7 +119,7 @@
 async def test_a_process_that_stands_still_while_it_connects_sent_nothing():
     """The connection was made meanwhile, but its time is over by then."""
     async with _serving([OK % b"1"]) as (made, used):
-        pool = exchange.Pool(
+        pool = exchange.ConnectionPool(
             made.address, exchange.ConnectionSettings(), clock.SystemClock()
         )
         loop = asyncio.get_running_loop()
@@ -170,7 +172,7 @@
 async def test_what_is_given_up_is_not_sent_again():
     listening = socket.create_server(("127.0.0.1", 0))
     address = model.Address(*listening.getsockname())
-    pool = exchange.Pool(
+    pool = exchange.ConnectionPool(
         address, exchange.ConnectionSettings(), clock.SystemClock()
     )
     with anyio.move_on_after(0.1):
@@ -185,7 +187,7 @@
     server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
     address = model.Address(*server.sockets[0].getsockname()[:2])
     server.close()
-    pool = exchange.Pool(
+    pool = exchange.ConnectionPool(
         address, exchange.ConnectionSettings(), clock.SystemClock()
     )
     result = await _ask(pool)
@@ -230,8 +232,8 @@
     async with _serving([OK % b"1", OK % b"1"]) as (pool, used):
         await _ask(pool)
         now_s = clock.SystemClock().monotonic_s()
-        assert pool.prefer_known(now_s)
-        assert not pool.prefer_known(now_s - 60.0)
+        assert pool.prefer_verified(now_s)
+        assert not pool.prefer_verified(now_s - 60.0)
         await _ask(pool)
         assert used == [2]
 
@@ -240,19 +242,19 @@
     async with _serving([OK % b"1"], [OK % b"1", OK % b"1"]) as (pool, used):
         await _ask(pool)
         begun_s = clock.SystemClock().monotonic_s() - 60.0
-        assert not pool.prefer_known(begun_s)
-        reply = await pool.exchange_anew(
+        assert not pool.prefer_verified(begun_s)
+        reply = await pool.exchange_on_new_connection(
             b"GET /health HTTP/1.1\r\n\r\n", lambda _: True
         )
         assert isinstance(reply, exchange.Reply)
-        assert pool.prefer_known(begun_s)
+        assert pool.prefer_verified(begun_s)
         await _ask(pool)
         assert used == [1, 2]
 
 
 async def test_a_connection_that_gives_no_answer_is_not_kept():
     async with _serving([None]) as (pool, _):
-        reply = await pool.exchange_anew(
+        reply = await pool.exchange_on_new_connection(
             b"GET /health HTTP/1.1\r\n\r\n", lambda _: True
         )
         assert isinstance(reply, exchange.Broken)
@@ -285,7 +287,7 @@
 
 async def test_no_question_is_written_that_may_not_be_sent_any_more():
     async with _serving([OK % b"1"]) as (pool, used):
-        result = await pool.exchange_anew(
+        result = await pool.exchange_on_new_connection(
             b"GET / HTTP/1.1\r\n\r\n", bool, lambda: False
         )
         assert isinstance(result, exchange.Unsent)
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -50,7 +50,7 @@
         if self.tries == self.happens_at:
             self.happen()
 
-    async def send(self, server, request, left_ms, may_send=_always):
+    async def send(self, server, request, remaining_ms, may_send=_always):
         if not self.asks_health:
             await self._wait()
         if not may_send():
@@ -59,7 +59,9 @@
         await anyio.lowlevel.checkpoint()
         return self.script.pop(0)
 
-    async def ask_warmup_s(self, server, path, known_s, may_send=_always):
+    async def query_warmup_left_s(
+        self, server, path, known_s, may_send=_always
+    ):
         await self._wait()
         if not may_send():
             return None
@@ -70,14 +72,14 @@
 def _leave(scene):
     for name in NAMES:
         server = support.make_server(name)
-        scene.book.notices.hear(server, attempts.Notice(is_leaving=True))
+        scene.book.notices.record(server, attempts.Notice(is_leaving=True))
     time.sleep(scene.book.bounds.drain_ms / 1_000)
 
 
 def _rest(scene):
     for name in NAMES:
         server = support.make_server(name)
-        scene.book.notices.hear(server, attempts.Notice(rest_s=3.0))
+        scene.book.notices.record(server, attempts.Notice(backoff_s=3.0))
 
 
 def _evacuate(scene):
@@ -141,7 +143,7 @@
     if "health" in way:
         wire.asks_health = True
         now_s = scene.dispatcher._clock.monotonic_s()
-        scene.dispatcher.list_heard_s = lambda: now_s - 60.0
+        scene.dispatcher.list_confirmed_s = lambda: now_s - 60.0
     return wire, scene
 
 
@@ -159,7 +161,7 @@
         happen(scene)
 
     wire.happen = note
-    outcome = await scene.ask(patience_ms=200.0)
+    outcome = await scene.ask(caller_timeout_ms=200.0)
     assert wire.tries >= wire.happens_at
     assert outcome is not scenes.OK
     return before, wire.sent
@@ -202,8 +204,8 @@
 
 async def test_another_server_is_taken_for_what_was_withheld():
     wire, scene = _make("first try", support.BOUNDS)
-    rest = attempts.Notice(rest_s=3.0)
-    wire.happen = lambda: scene.book.notices.hear(
+    rest = attempts.Notice(backoff_s=3.0)
+    wire.happen = lambda: scene.book.notices.record(
         support.make_server("a"), rest
     )
     assert await scene.ask() is scenes.OK
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -45,44 +45,44 @@
 
 def test_that_a_run_leaves_is_told_once(heard, lines):
     for _ in range(3):
-        heard.hear(SERVER, LEAVING)
+        heard.record(SERVER, LEAVING)
     assert lines.events() == ["server_says_leaving"]
     assert heard.leaving_count == 1
 
 
 def test_each_rest_is_told_once_and_ends(heard, lines, clock):
-    heard.hear(SERVER, attempts.Notice(rest_s=3.0))
+    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
     clock.now_s += 1.0
-    heard.hear(SERVER, attempts.Notice(rest_s=3.0))
+    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
     assert lines.events() == ["server_asks_rest"]
     assert lines.written[0][1]["rest_s"] == 3.0
-    assert heard.rest_left_s(SERVER.server_id) >= 3.0
+    assert heard.backoff_left_s(SERVER.server_id) >= 3.0
     clock.now_s += 5.0
-    assert heard.rest_left_s(SERVER.server_id) == 0.0
-    assert heard.resting_count == 0
-    heard.hear(SERVER, attempts.Notice(rest_s=3.0))
+    assert heard.backoff_left_s(SERVER.server_id) == 0.0
+    assert heard.backoff_count == 0
+    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
     assert lines.events() == ["server_asks_rest"] * 2
 
 
 def test_a_shorter_rest_ends_no_longer_one(heard):
-    heard.hear(SERVER, attempts.Notice(rest_s=3.0))
-    heard.hear(SERVER, attempts.Notice(rest_s=0.5))
-    assert heard.rest_left_s(SERVER.server_id) >= 3.0
+    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
+    heard.record(SERVER, attempts.Notice(backoff_s=0.5))
+    assert heard.backoff_left_s(SERVER.server_id) >= 3.0
 
 
 def test_what_makes_no_sense_is_told_and_changes_nothing(heard, lines):
     for _ in range(3):
-        heard.hear(SERVER, attempts.Notice(problem="no time"))
+        heard.record(SERVER, attempts.Notice(problem="no time"))
     assert lines.events() == ["notice_unreadable"]
     assert not heard.leaving_count
-    assert not heard.rest_left_s(SERVER.server_id)
+    assert not heard.backoff_left_s(SERVER.server_id)
 
 
 def test_what_is_remembered_is_bounded(heard, monkeypatch):
     monkeypatch.setattr(notices, "_RUNS_MAX_COUNT", 10)
     for number in range(50):
         server = support.make_server(f"s{number}")
-        heard.hear(server, attempts.Notice(is_leaving=True, rest_s=0.001))
+        heard.record(server, attempts.Notice(is_leaving=True, backoff_s=0.001))
     assert heard.leaving_count == 10
     assert len(heard._rest_until_s) == 10
     assert ids.ServerId("s49") in heard._leaving_told_s
@@ -124,11 +124,11 @@
 
 
 def _say_it_again(book):
-    book.notices.hear(SERVER, LEAVING)
+    book.notices.record(SERVER, LEAVING)
 
 
 def _be_heard_without_it(book):
-    book.notices.hear(SERVER, attempts.Notice())
+    book.notices.record(SERVER, attempts.Notice())
 
 
 @pytest.mark.parametrize(
@@ -145,7 +145,7 @@
     ],
 )
 def test_the_first_word_of_a_run_that_leaves_stands(book, clock, happen):
-    book.notices.hear(SERVER, LEAVING)
+    book.notices.record(SERVER, LEAVING)
     clock.now_s += 0.9
     happen(book)
     server = book.get(SERVER.server_id)
@@ -157,7 +157,7 @@
 
 
 def test_the_word_outlasts_that_its_server_is_forgotten(book, clock):
-    book.notices.hear(SERVER, LEAVING)
+    book.notices.record(SERVER, LEAVING)
     book.remove(SERVER.server_id, log_was_away=False)
     clock.now_s += 60
     book.drop_stale()
@@ -170,7 +170,7 @@
 def test_what_the_list_says_first_counts_first(book, clock):
     book.put(dataclasses.replace(SERVER, leaving=True))
     clock.now_s += 0.5
-    book.notices.hear(SERVER, LEAVING)
+    book.notices.record(SERVER, LEAVING)
     server = book.get(SERVER.server_id)
     list_use_s = DRAIN_S * book.settings.drain_use_ratio
     assert not book.may_use(server, clock.now_s + list_use_s - 0.4)
@@ -180,7 +180,7 @@
     first = support.make_server("b", started_ms=1)
     following = support.make_server("b", started_ms=2)
     book.put(first)
-    book.notices.hear(first, LEAVING)
+    book.notices.record(first, LEAVING)
     clock.now_s += 60
     book.put(following)
     server = book.get(following.server_id)
@@ -190,5 +190,5 @@
 
 def test_whoever_waits_for_servers_to_change_is_woken(book):
     count = book.changed.count
-    book.notices.hear(SERVER, LEAVING)
+    book.notices.record(SERVER, LEAVING)
     assert book.changed.count == count + 1
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -420,7 +420,7 @@
 def _tell_rest(scene, *names: str) -> None:
     for name in names:
         server = support.make_server(name)
-        scene.book.notices.hear(server, attempts.Notice(rest_s=REST_S))
+        scene.book.notices.record(server, attempts.Notice(backoff_s=REST_S))
 
 
 async def test_no_permit_is_given_for_one_that_wants_to_be_left_alone(scene):
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -86,7 +86,7 @@
             lambda _: None,
             lambda _: None,
             lambda _: None,
-            self.relayer.take,
+            self.relayer.receive,
             journal,
         )
 
@@ -104,7 +104,7 @@
 
     async def tell(self) -> None:
         async with anyio.create_task_group() as tasks:
-            await self.relayer.tell(tasks)
+            await self.relayer.broadcast(tasks)
 
 
 class Scene:
@@ -199,7 +199,7 @@
 
 
 async def test_what_is_too_long_for_a_word_goes_beside_it():
-    scene = Scene(word_max_bytes=400)
+    scene = Scene(message_max_bytes=400)
     await scene.read()
     await scene.leader.tell()
     for number in range(200):
@@ -245,7 +245,7 @@
     )
     now_s = clock.SystemClock().monotonic_s()
     stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
-    other.relayer.take(relay, peers.Echo(stamp, 0.5))
+    other.relayer.receive(relay, peers.Echo(stamp, 0.5))
     return follower.age_s
 
 
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -157,7 +157,7 @@
 
 
 def _hear_nothing():
-    return mock.patch.object(notices.Notices, "hear", return_value=None)
+    return mock.patch.object(notices.Notices, "record", return_value=None)
 
 
 def _believe_the_newest_entry():
@@ -172,7 +172,9 @@
 
 
 def _use_it_for_good():
-    return mock.patch.object(notices.Notices, "has_left", return_value=False)
+    return mock.patch.object(
+        notices.Notices, "is_past_drain_limit", return_value=False
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/emulated/test_rest.py
+++ b/tests/emulated/test_rest.py
@@ -70,12 +70,12 @@
 
 
 def _hear_nothing():
-    return mock.patch.object(notices.Notices, "hear", return_value=None)
+    return mock.patch.object(notices.Notices, "record", return_value=None)
 
 
 def _keep_it_for_a_moment():
     """As a pause that has nothing to do with what was asked for."""
-    settings = notices.NoticeSettings(rest_clock_ratio=0.3)
+    settings = notices.NoticeSettings(backoff_clock_ratio=0.3)
     return mock.patch.object(notices, "NoticeSettings", return_value=settings)
 
 
--- a/tests/emulated/test_suspended.py
+++ b/tests/emulated/test_suspended.py
@@ -100,7 +100,7 @@
             body=b"",
             key=1,
             received_s=instance.parts.clock.monotonic_s(),
-            patience_ms=500.0,
+            caller_timeout_ms=500.0,
         )
 
         async def call() -> None:
--- a/tests/load/scene.py
+++ b/tests/load/scene.py
@@ -234,7 +234,7 @@
     def __init__(self, scene: "Scene") -> None:
         self._scene = scene
 
-    async def send(self, server, request, left_ms, may_send):
+    async def send(self, server, request, remaining_ms, may_send):
         if not may_send():
             return attempts.Withheld()
         await anyio.sleep(_LINK_S)
@@ -592,7 +592,7 @@
             body=b"",
             key=key,
             received_s=begun_s,
-            patience_ms=float(int(left_s * 1_000)),
+            caller_timeout_ms=float(int(left_s * 1_000)),
         )
         self.report.attempts_count += 1
         outcome: outcomes.Outcome | None = None
