--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -15,7 +15,7 @@
 from bridgecross_emulator import network as networks
 from bridgecross_emulator import virtual
 from bridgecross_entry import poison_news
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _SIZES_COUNT = (11, 74, 195, 780)
 _REQUESTS_COUNT = 20_000
@@ -32,16 +32,18 @@
 
 def _measure_path() -> rows.Row:
     """Returns what a request costs that is answered at once."""
-    ledger = poison.PoisonLedger(poison.PoisonSettings(), clocks.SystemClock())
+    ledger = poison_requests.PoisonLedger(
+        poison_requests.PoisonSettings(), clocks.SystemClock()
+    )
 
     def serve() -> None:
         for number in range(_REQUESTS_COUNT):
-            subject = poison.name_subject(
+            subject = poison_requests.compute_fingerprint(
                 "house", b"GET", b"/a/%d" % number, _BODY
             )
             if ledger.refused_for_s(subject) or ledger.refused_for_s(subject):
                 raise AssertionError("nothing is refused here")
-            ledger.note_answer(subject)
+            ledger.record_answer_now(subject)
 
     cpu_s = rows.measure_cpu_s(serve)
     return rows.Row(
@@ -71,7 +73,7 @@
 
 async def _end_server(house: houses.House, count: int) -> list[rows.Row]:
     """Lets a server end under a request, as one instance sees it."""
-    subject = poison.name_subject("h", b"GET", b"/deadly", b"")
+    subject = poison_requests.compute_fingerprint("h", b"GET", b"/deadly", b"")
     network = house.network
     found = []
     for number, name in enumerate(("first", "second", "third"), 1):
@@ -79,8 +81,10 @@
         network.carried_count.clear()
         network.carried_bytes.clear()
         now_s = seen_by.clock.monotonic_s()
-        end = poison.End(subject, f"i-{number}", now_s - 0.05, now_s)
-        seen_by.watch.ledger.put_end(end)
+        end = poison_requests.RunEnd(
+            subject, f"i-{number}", now_s - 0.05, now_s
+        )
+        seen_by.watch.ledger.record_end(end)
         begun_s = house.now_s
         seen_by.watch.on_ends([end])
         known_s = await _wait_until_known(house, subject, number)
@@ -90,7 +94,7 @@
 
 
 async def _wait_until_known(
-    house: houses.House, subject: poison.Subject, number: int
+    house: houses.House, subject: poison_requests.Fingerprint, number: int
 ) -> float:
     """Waits until words are over; returns when all knew of an end."""
     known_s = math.nan
--- a/benchmarks/poison_ways.py
+++ b/benchmarks/poison_ways.py
@@ -15,7 +15,7 @@
 from bridgecross_entry import attempts
 from bridgecross_entry import dispatch
 from bridgecross_entry import poison_news
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from tests.emulated import crash_scene
 
 SIZES_COUNT = (11, 74, 195)
@@ -26,22 +26,28 @@
 _TARGET = f"/{instances.FREE_SERVICE}/deadly".encode()
 _REFUSED = "servers ended while they ran it"
 
-Name = Callable[[attempts.EntryRequest], poison.Subject]
+Name = Callable[[attempts.EntryRequest], poison_requests.Fingerprint]
 
 
-def _with_address(request: attempts.EntryRequest) -> poison.Subject:
+def _with_address(
+    request: attempts.EntryRequest,
+) -> poison_requests.Fingerprint:
     host = f"{request.caller} {request.host}"
-    return poison.name_subject(
+    return poison_requests.compute_fingerprint(
         host, request.method, request.target, request.body
     )
 
 
-def _without_body(request: attempts.EntryRequest) -> poison.Subject:
-    return poison.name_subject(request.host, b"", request.target, b"")
+def _without_body(
+    request: attempts.EntryRequest,
+) -> poison_requests.Fingerprint:
+    return poison_requests.compute_fingerprint(
+        request.host, b"", request.target, b""
+    )
 
 
-def _by_host(request: attempts.EntryRequest) -> poison.Subject:
-    return poison.name_subject(request.host, b"", b"", b"")
+def _by_host(request: attempts.EntryRequest) -> poison_requests.Fingerprint:
+    return poison_requests.compute_fingerprint(request.host, b"", b"", b"")
 
 
 class Way(NamedTuple):
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_caller_api.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_caller_api.py
@@ -247,7 +247,7 @@
     match admission:
         case callers.Admitted():
             return admission
-        case callers.NoPlace(caller=name):
+        case callers.NoTier(caller=name):
             detail = f"{name} has no place in a tier of {service.name}"
             raise _RefusedError(Problem(403, "No place in a tier", detail))
         case callers.UnknownCaller():
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_ends.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_ends.py
@@ -14,7 +14,7 @@
 from bridgecross_daemon import _platform
 from bridgecross_daemon import peering
 from bridgecross_daemon import ports
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _ENDS_MAX_COUNT = 64
 _CALL_TIMEOUT_S = 0.1
@@ -30,7 +30,7 @@
     def __init__(
         self,
         me: ids.InstanceId,
-        ledger: poison.PoisonLedger,
+        ledger: poison_requests.PoisonLedger,
         client: ports.PeerCaller,
         addresses: _platform.Addresses,
         clock: clocks.Clock,
@@ -53,7 +53,7 @@
         # Until when those who lack something are told again.
         self._owed: dict[ids.InstanceId, float] = {}
 
-    def tell(self, subject: poison.Subject) -> None:
+    def tell(self, subject: poison_requests.Fingerprint) -> None:
         """Tells all others of a request, with all else that is known."""
         loguru.logger.info(
             "{} knows of {} ends under the request {}; refused for {:.0f} s",
@@ -67,11 +67,13 @@
             self._owed[instance] = until_s
         self._news.notify()
 
-    def answer(self, told: poison.Told) -> poison.Told:
+    def answer(
+        self, told: poison_requests.PoisonReport
+    ) -> poison_requests.PoisonReport:
         """Takes in what another instance knows; returns what it may lack."""
-        named = {poison.Subject(end.subject) for end in told.ends}
-        known = self._ledger.tell(
-            named or self._ledger.suspects(), _ENDS_MAX_COUNT
+        named = {poison_requests.Fingerprint(end.subject) for end in told.ends}
+        known = self._ledger.build_report(
+            named or self._ledger.list_suspects(), _ENDS_MAX_COUNT
         )
         self._take(told)
         return known
@@ -90,7 +92,9 @@
     async def _ask_first(self) -> None:
         """Asks the others what they know, until one has answered."""
         while True:
-            asked = await self._call_all(self._others(), poison.Told())
+            asked = await self._call_all(
+                self._others(), poison_requests.PoisonReport()
+            )
             if asked:
                 return
             await anyio.sleep(_AGAIN_INTERVAL_S)
@@ -102,13 +106,13 @@
         for instance, until_s in list(self._owed.items()):
             if until_s < now_s or instance not in present:
                 del self._owed[instance]
-        subjects = self._ledger.known_subjects()
-        told = self._ledger.tell(subjects, _ENDS_MAX_COUNT)
+        subjects = self._ledger.list_known()
+        told = self._ledger.build_report(subjects, _ENDS_MAX_COUNT)
         for instance in await self._call_all(set(self._owed), told):
             self._owed.pop(instance, None)
 
     async def _call_all(
-        self, instances: set[ids.InstanceId], told: poison.Told
+        self, instances: set[ids.InstanceId], told: poison_requests.PoisonReport
     ) -> set[ids.InstanceId]:
         """Tells some instances at the same time; returns who answered."""
         reached: set[ids.InstanceId] = set()
@@ -131,11 +135,11 @@
                 calls.start_soon(call, instance)
         return reached
 
-    def _take(self, told: poison.Told) -> None:
+    def _take(self, told: poison_requests.PoisonReport) -> None:
         """Takes in what another instance knows."""
         try:
-            refused = self._ledger.take(told)
-        except poison.UntrueError as error:
+            refused = self._ledger.merge_report(told)
+        except poison_requests.InvalidReportError as error:
             loguru.logger.warning("left aside what a peer tells: {}", error)
             return
         for subject in refused:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -25,7 +25,7 @@
 from bridgecross_ownership import releases
 from bridgecross_ownership import reports
 from bridgecross_request import backends
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import requests
 from bridgecross_request import routing
 from bridgecross_request import runner as runners
@@ -51,8 +51,8 @@
     make_backend: Callable[[backends.BackendSettings], ports.ServiceBackend]
     control: appenders.Appender
     intents: appenders.Appender
-    ledger: poison.PoisonLedger
-    tell_others: Callable[[poison.Subject], None]
+    ledger: poison_requests.PoisonLedger
+    tell_others: Callable[[poison_requests.Fingerprint], None]
 
 
 class ServiceParts:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
@@ -43,7 +43,7 @@
         slots_per_server=policy.slots_per_server,
         starvation_share_ratio=policy.starvation_share_ratio,
         places={
-            tier.name: queueing.TierPlace(
+            tier.name: queueing.QueueTier(
                 tier.name, tier.priority, tier.policy.queue_requests
             )
             for tier in service.tiers.values()
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -24,7 +24,7 @@
 from bridgecross_ownership import membership as memberships
 from bridgecross_ownership import releases
 from bridgecross_request import intents
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import requests
 from bridgecross_settings import policy as policies
 from bridgecross_settings import process
@@ -119,7 +119,9 @@
             self._addresses,
             self._clock,
         )
-        self._ledger = poison.PoisonLedger(poison.PoisonSettings(), self._clock)
+        self._ledger = poison_requests.PoisonLedger(
+            poison_requests.PoisonSettings(), self._clock
+        )
         self._ends = _ends.EndTeller(
             self._me,
             self._ledger,
@@ -307,7 +309,9 @@
             return releases.OfficeReply(self._me, is_over=False)
         return await parts.fronts.answer_office(request)
 
-    async def ends(self, request: poison.Told) -> poison.Told:
+    async def ends(
+        self, request: poison_requests.PoisonReport
+    ) -> poison_requests.PoisonReport:
         """Takes in which requests servers ended under."""
         return self._ends.answer(request)
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -13,7 +13,7 @@
 from bridgecross_core import stamps
 from bridgecross_daemon import peering
 from bridgecross_ownership import releases
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import requests
 
 Q = TypeVar("Q")
@@ -57,7 +57,9 @@
     async def news(self, request: peering.NewsRequest) -> peering.NewsReply:
         """Tells what the instance has read of the control stream."""
 
-    async def ends(self, request: poison.Told) -> poison.Told:
+    async def ends(
+        self, request: poison_requests.PoisonReport
+    ) -> poison_requests.PoisonReport:
         """Takes in which requests servers ended under."""
 
     async def status(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
@@ -16,7 +16,7 @@
 from bridgecross_log import snapshot as snapshots
 from bridgecross_ownership import releases
 from bridgecross_ownership import reports
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import requests
 from bridgecross_timeline import events
 
@@ -236,7 +236,9 @@
 OWNER = Method("Owner", OwnerRequest, OwnerReply)
 """Tells who owns a key and why."""
 
-ENDS = Method("Ends", poison.Told, poison.Told)
+ENDS = Method(
+    "Ends", poison_requests.PoisonReport, poison_requests.PoisonReport
+)
 """Tells of requests that servers ended under; the reply is what is known of the
 same ones, or of all, if none is named."""
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -28,7 +28,7 @@
 from bridgecross_entry import permit_issuer
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import warmups
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 
 class Adapter(beliefs.Decoder, Protocol):
@@ -115,7 +115,9 @@
         )
         self.watch = crash_watch.CrashWatch(
             crash_watch.CrashWatchSettings(),
-            poison.PoisonLedger(poison.PoisonSettings(), clock),
+            poison_requests.PoisonLedger(
+                poison_requests.PoisonSettings(), clock
+            ),
             self.backend_client,
             self.book,
             journal,
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -25,7 +25,7 @@
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tasks as tasks_lib
 from bridgecross_request import error_answers
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _FIRST_ERROR_STATUS = 500
 _TRIALS_MAX_COUNT = 64
@@ -66,7 +66,7 @@
 class Visit:
     """A request at a server's run."""
 
-    subject: poison.Subject
+    subject: poison_requests.Fingerprint
     # Under which id it went there, for logs.
     request_id: str
     server: model.BackendServer
@@ -82,7 +82,7 @@
     def __init__(
         self,
         settings: CrashWatchSettings,
-        ledger: poison.PoisonLedger,
+        ledger: poison_requests.PoisonLedger,
         client: attempts.BackendClient,
         book: servers_lib.ServerBook,
         journal: journals.Journal,
@@ -102,14 +102,20 @@
         """
         self.ledger = ledger
         # Called with ends that were not known, to tell other instances.
-        self.on_ends: Callable[[list[poison.End]], None] = lambda _: None
+        self.on_ends: Callable[[list[poison_requests.RunEnd]], None] = (
+            lambda _: None
+        )
         # Called with a request that is refused, or would be after another
         # end, and is answered.
-        self.on_cleared: Callable[[poison.Subject], None] = lambda _: None
+        self.on_cleared: Callable[[poison_requests.Fingerprint], None] = (
+            lambda _: None
+        )
         # Returns how many other instances are to try a request before this one.
-        self.rank: Callable[[poison.Subject], int] = lambda _: 0
+        self.rank: Callable[[poison_requests.Fingerprint], int] = lambda _: 0
         # When a request may be tried here, by it and its newest end.
-        self._opens_s: dict[tuple[poison.Subject, float], float] = {}
+        self._opens_s: dict[
+            tuple[poison_requests.Fingerprint, float], float
+        ] = {}
         self._settings = settings
         self._client = client
         self._book = book
@@ -136,7 +142,7 @@
 
     # What may be sent.
 
-    def may_send(self, subject: poison.Subject) -> bool:
+    def may_send(self, subject: poison_requests.Fingerprint) -> bool:
         """Whether a request that could be sent now may be, from here."""
         if self.ledger.refused_for_s(subject):
             return False
@@ -144,7 +150,7 @@
             self._begin_trial(subject)
         return self.trial_wait_s(subject) <= 0
 
-    def trial_wait_s(self, subject: poison.Subject) -> float:
+    def trial_wait_s(self, subject: poison_requests.Fingerprint) -> float:
         """Returns for how long others try a request first; 0 if none do."""
         if not self.ledger.is_nearly_refused(subject):
             return 0.0
@@ -154,7 +160,7 @@
             return self._settings.trial_step_s
         return max(wait_s, 0.0)
 
-    def _begin_trial(self, subject: poison.Subject) -> None:
+    def _begin_trial(self, subject: poison_requests.Fingerprint) -> None:
         """Finds out when it is this instance's turn, once for each end.
 
         Counted from when a server could take it: a key that has lost its owner
@@ -169,13 +175,13 @@
             del self._opens_s[next(iter(self._opens_s))]
 
     def _name_trial(
-        self, subject: poison.Subject
-    ) -> tuple[poison.Subject, float]:
+        self, subject: poison_requests.Fingerprint
+    ) -> tuple[poison_requests.Fingerprint, float]:
         """Returns a request and its newest end, after which it is tried."""
         ends = self.ledger.ends_of(subject)
         return subject, max(end.ended_s for end in ends)
 
-    def _is_at_work(self, subject: poison.Subject) -> bool:
+    def _is_at_work(self, subject: poison_requests.Fingerprint) -> bool:
         """Whether a server runs a request that went there from here."""
         return any(
             visit.subject == subject and visit.state is _State.RUNNING
@@ -187,7 +193,7 @@
 
     def begin(
         self,
-        subject: poison.Subject,
+        subject: poison_requests.Fingerprint,
         request_id: str,
         server: model.BackendServer,
     ) -> Visit:
@@ -242,14 +248,14 @@
         for answer in self._errors.take_confirmed(server_id, visit.sent_s):
             self._take_answer(answer)
         if status < _FIRST_ERROR_STATUS:
-            self._take_answer(poison.Answer(visit.subject, now_s))
+            self._take_answer(poison_requests.Answer(visit.subject, now_s))
         else:
             self._errors.note_error(server_id, visit.subject, now_s)
 
-    def _take_answer(self, answer: poison.Answer) -> None:
+    def _take_answer(self, answer: poison_requests.Answer) -> None:
         """Takes in that a server ran a request, and lived."""
         concerns_others = self.ledger.is_nearly_refused(answer.subject)
-        self.ledger.put_answer(answer)
+        self.ledger.record_answer(answer)
         if concerns_others:
             self.on_cleared(answer.subject)
 
@@ -268,7 +274,7 @@
             if now_s - visit.left_s <= longest_s:
                 break
             self._drop(visit)
-        self.ledger.forget_old()
+        self.ledger.remove_expired()
 
     def _drop(self, visit: Visit) -> None:
         """Remembers a visit no longer."""
@@ -348,11 +354,11 @@
         for visit in struck:
             self._drop(visit)
         ends = [self._make_end(visit, reason) for visit in struck]
-        new = [end for end in ends if self.ledger.put_end(end)]
+        new = [end for end in ends if self.ledger.record_end(end)]
         if new:
             self.on_ends(new)
 
-    def _make_end(self, visit: Visit, reason: str) -> poison.End:
+    def _make_end(self, visit: Visit, reason: str) -> poison_requests.RunEnd:
         """Returns the end of a run under a request, and writes it."""
         self._metrics.crashes.inc({"service": visit.server.service})
         self._journal.decision(
@@ -365,7 +371,7 @@
             at_work_ms=round((visit.left_s - visit.sent_s) * 1_000, 1),
             reason=reason,
         )
-        return poison.End(
+        return poison_requests.RunEnd(
             visit.subject,
             visit.server.server_id,
             visit.sent_s,
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -32,7 +32,7 @@
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tally as tallies
 from bridgecross_entry import warmups as warmups_lib
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import queueing
 
 _FIRST_ERROR_STATUS = 500
@@ -110,7 +110,7 @@
     target_s: float
     configuration_version: int
     # What the request is known by when it comes under another id.
-    subject: poison.Subject
+    subject: poison_requests.Fingerprint
     # Which server turned it away last for lack of room.
     shed_by: ids.ServerId | None = None
     # Attempts that reached a server, whatever came of them.
@@ -185,7 +185,9 @@
         self._permits = permits
         self.watch = watch or crash_watch.CrashWatch(
             crash_watch.CrashWatchSettings(),
-            poison.PoisonLedger(poison.PoisonSettings(), clock),
+            poison_requests.PoisonLedger(
+                poison_requests.PoisonSettings(), clock
+            ),
             client,
             book,
             journal,
@@ -424,7 +426,9 @@
         wanted = permit_client.Wanted(
             life.service,
             life.route.priority,
-            queueing.Due(min(life.target_s, life.deadline_s), life.deadline_s),
+            queueing.Deadlines(
+                min(life.target_s, life.deadline_s), life.deadline_s
+            ),
             owner.listed if owner else None,
             life.tried | self._choice.resting_ids(life.service),
             lambda: owner is None or self._owns(life, owner),
@@ -523,7 +527,7 @@
         """
         target_s = min(life.target_s, life.deadline_s)
         begun_s = self._clock.monotonic_s()
-        due = queueing.Due(target_s, life.deadline_s)
+        due = queueing.Deadlines(target_s, life.deadline_s)
         slot = await queue.acquire(_place(life), due)
         self._metrics.queue_seconds.observe(
             {"service": life.service}, self._clock.monotonic_s() - begun_s
@@ -1007,17 +1011,19 @@
         return self.loads.setdefault(service, load.LoadCounter())
 
 
-def _name_subject(request: attempts.EntryRequest) -> poison.Subject:
+def _name_subject(
+    request: attempts.EntryRequest,
+) -> poison_requests.Fingerprint:
     """Returns what a request is known by, whatever its id and its key."""
-    return poison.name_subject(
+    return poison_requests.compute_fingerprint(
         request.host, request.method, request.target, request.body
     )
 
 
-def _place(life: _Life) -> queueing.TierPlace:
+def _place(life: _Life) -> queueing.QueueTier:
     """Returns how a request stands in queues."""
     priority = life.route.priority
-    return queueing.TierPlace(str(priority), priority, _QUEUE_MAX_COUNT)
+    return queueing.QueueTier(str(priority), priority, _QUEUE_MAX_COUNT)
 
 
 def _not_run(
--- a/libs/bridgecross-entry/src/bridgecross_entry/duties.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/duties.py
@@ -34,7 +34,7 @@
 from bridgecross_entry import relaying
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tasks as tasks_lib
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -260,7 +260,7 @@
         own = self._platform.peer_address
         return tuple(sorted(self._beliefs.instances - {own}))
 
-    def _rank(self, subject: poison.Subject) -> int:
+    def _rank(self, subject: poison_requests.Fingerprint) -> int:
         """Returns how many others try a suspect request before this one."""
         own = str(self._platform.peer_address)
         names = [own, *map(str, self._peers())]
--- a/libs/bridgecross-entry/src/bridgecross_entry/edge.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/edge.py
@@ -18,7 +18,7 @@
 from bridgecross_entry import permit_issuer
 from bridgecross_entry import permits
 from bridgecross_entry import poison_news
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _BODY_MAX_BYTES = 64 * 1024 * 1024
 """For bodies before a configuration names a limit."""
@@ -206,7 +206,7 @@
     """Answers one who tells of servers that ended under requests."""
     try:
         return peers.PeerReply(200, await news.answer(body))
-    except (codec.CodecError, poison.UntrueError) as error:
+    except (codec.CodecError, poison_requests.InvalidReportError) as error:
         return server.leave_aside(poison_news.PATH, error)
 
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
@@ -83,7 +83,7 @@
 
     service: ids.ServiceName
     priority: int
-    due: queueing.Due
+    due: queueing.Deadlines
     # The only server that can serve it; None if any of the service can.
     server: model.BackendServer | None
     # Servers that it was sent to before.
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -58,7 +58,7 @@
 
     service: ids.ServiceName
     server: servers_lib.Server
-    place: queueing.TierPlace
+    place: queueing.QueueTier
     # Whether it took a slot of the service's queue beside the server's.
     is_shared: bool
     expires_s: float
@@ -195,7 +195,9 @@
         """Answers one who has not asked for this request before."""
         now_s = self._clock.monotonic_s()
         queue = server.queue if server is not None else pool.queue
-        due = queueing.Due(now_s + ask.target_in_s, now_s + ask.deadline_in_s)
+        due = queueing.Deadlines(
+            now_s + ask.target_in_s, now_s + ask.deadline_in_s
+        )
         if queue.try_acquire(self._place(ask), due):
             return self._grant(ask, pool, server, may_be_cold=True)
         is_cold = server is not None and self._is_cold(server)
@@ -283,7 +285,7 @@
         ask: permits.Ask,
         waiting: _Waiting,
         queue: queueing.TierQueue,
-        due: queueing.Due,
+        due: queueing.Deadlines,
     ) -> None:
         """Waits in a queue on behalf of a request."""
         with waiting.scope:
@@ -416,9 +418,9 @@
             free or candidates, key=lambda s: s.cost_s(self._domain, now_s)
         )
 
-    def _place(self, ask: permits.Ask) -> queueing.TierPlace:
+    def _place(self, ask: permits.Ask) -> queueing.QueueTier:
         """Returns how a request stands in queues."""
-        return queueing.TierPlace(
+        return queueing.QueueTier(
             str(ask.priority), ask.priority, self._settings.waiting_max_count
         )
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
@@ -37,7 +37,7 @@
 from bridgecross_entry import model
 from bridgecross_entry import peers
 from bridgecross_entry import tasks as tasks_lib
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 PATH = b"/poison"
 """Where an instance is told of requests that servers ended under."""
@@ -46,9 +46,9 @@
 class Word(NamedTuple):
     """What one instance tells another."""
 
-    ends: tuple[poison.ToldEnd, ...] = ()
+    ends: tuple[poison_requests.RunEndReport, ...] = ()
     # Of the same requests, as far as they were answered.
-    answers: tuple[poison.ToldAnswer, ...] = ()
+    answers: tuple[poison_requests.AnswerReport, ...] = ()
     # Whom the receiver tells as well.
     pass_on: tuple[model.Address, ...] = ()
     # Whether the answer is to hold all that is known.
@@ -61,8 +61,8 @@
     # Those whom it should have told and did not reach.
     unreached: tuple[model.Address, ...] = ()
     # What it and those whom it told know beyond the word, of the same requests.
-    ends: tuple[poison.ToldEnd, ...] = ()
-    answers: tuple[poison.ToldAnswer, ...] = ()
+    ends: tuple[poison_requests.RunEndReport, ...] = ()
+    answers: tuple[poison_requests.AnswerReport, ...] = ()
 
 
 class Refused(NamedTuple):
@@ -70,7 +70,7 @@
 
     # Ages are as of then, in seconds since 1970.
     written_wall_s: float
-    ends: tuple[poison.ToldEnd, ...]
+    ends: tuple[poison_requests.RunEndReport, ...]
 
 
 _WORDS = codec.Codec(Word)
@@ -127,7 +127,7 @@
     def __init__(
         self,
         settings: PoisonNewsSettings,
-        ledger: poison.PoisonLedger,
+        ledger: poison_requests.PoisonLedger,
         client: peers.PeerClient,
         addresses: Callable[[], tuple[model.Address, ...]],
         put_record: Callable[[logs.KeyedRecord], Awaitable[bool]],
@@ -157,7 +157,7 @@
         self._clock = clock
         self._news = pulse.Pulse()
         # The requests of which others have not been told yet.
-        self._untold: dict[poison.Subject, None] = {}
+        self._untold: dict[poison_requests.Fingerprint, None] = {}
         # Until when those who were not reached are tried again.
         self._owed: dict[model.Address, float] = {}
         # When one that knew another thing may be told again.
@@ -179,7 +179,7 @@
 
     # What happens here.
 
-    def tell_ends(self, ends: list[poison.End]) -> None:
+    def tell_ends(self, ends: list[poison_requests.RunEnd]) -> None:
         """Tells all others of servers that ended under requests."""
         for subject in {end.subject for end in ends}:
             self._tell_soon(subject)
@@ -187,7 +187,7 @@
                 self._write_refused(subject)
                 self._record(subject)
 
-    def tell_answer(self, subject: poison.Subject) -> None:
+    def tell_answer(self, subject: poison_requests.Fingerprint) -> None:
         """Tells all others that a request was answered after all."""
         self._tell_soon(subject)
         key = beliefs.REFUSED_PREFIX + subject.hex()
@@ -195,14 +195,14 @@
             self._journal.decision("poison_cleared", subject=subject.hex())
             self._write_soon(logs.KeyedRecord(key, b""))
 
-    def _tell_soon(self, subject: poison.Subject) -> None:
+    def _tell_soon(self, subject: poison_requests.Fingerprint) -> None:
         """Tells others of a request with the next round."""
         self._untold[subject] = None
         if len(self._untold) > self._ledger.settings.subjects_max_count:
             del self._untold[next(iter(self._untold))]
         self._news.notify()
 
-    def _write_refused(self, subject: poison.Subject) -> None:
+    def _write_refused(self, subject: poison_requests.Fingerprint) -> None:
         """Writes a line that a request is refused from now on."""
         ends = self._ledger.ends_of(subject)
         self._journal.lifecycle(
@@ -212,9 +212,11 @@
             refused_for_s=round(self._ledger.refused_for_s(subject), 1),
         )
 
-    def _record(self, subject: poison.Subject) -> None:
+    def _record(self, subject: poison_requests.Fingerprint) -> None:
         """Lets the log keep that a request is refused."""
-        told = self._ledger.tell([subject], self._settings.ends_max_count)
+        told = self._ledger.build_report(
+            [subject], self._settings.ends_max_count
+        )
         record = Refused(self._clock.wall_s(), told.ends)
         key = beliefs.REFUSED_PREFIX + subject.hex()
         self._recorded_wall_s[key] = record.written_wall_s
@@ -238,11 +240,11 @@
 
     async def _tell(
         self,
-        subjects: list[poison.Subject],
+        subjects: list[poison_requests.Fingerprint],
         addresses: tuple[model.Address, ...],
     ) -> None:
         """Tells of some requests: all others, or those who keep first ends."""
-        first: list[poison.Subject] = []
+        first: list[poison_requests.Fingerprint] = []
         if len(addresses) > self._settings.direct_max_count:
             first = [s for s in subjects if len(self._ledger.ends_of(s)) == 1]
         async with anyio.create_task_group() as calls:
@@ -253,7 +255,9 @@
                 await self._tell_all(later, addresses)
 
     async def _tell_keepers(
-        self, subject: poison.Subject, addresses: tuple[model.Address, ...]
+        self,
+        subject: poison_requests.Fingerprint,
+        addresses: tuple[model.Address, ...],
     ) -> None:
         """Tells some others of a first end; all, if they know of another."""
         by_name = {str(address): address for address in addresses}
@@ -269,7 +273,7 @@
 
     async def _tell_all(
         self,
-        subjects: list[poison.Subject],
+        subjects: list[poison_requests.Fingerprint],
         addresses: tuple[model.Address, ...],
     ) -> None:
         """Tells all others, and keeps who was not reached."""
@@ -283,11 +287,13 @@
 
     def _take_reply(self, reply: Reply) -> None:
         """Takes in what others answered; what is new, all have to know."""
-        named = {poison.Subject(end.subject) for end in reply.ends}
-        named |= {poison.Subject(each.subject) for each in reply.answers}
+        named = {poison_requests.Fingerprint(end.subject) for end in reply.ends}
+        named |= {
+            poison_requests.Fingerprint(each.subject) for each in reply.answers
+        }
         counted = {subject: self._what_counts(subject) for subject in named}
         refused = {s for s in named if self._ledger.refused_for_s(s)}
-        self._take(poison.Told(reply.ends, reply.answers))
+        self._take(poison_requests.PoisonReport(reply.ends, reply.answers))
         for subject in named:
             if self._what_counts(subject) != counted[subject]:
                 self._tell_soon(subject)
@@ -297,7 +303,9 @@
             if subject in refused and not is_refused:
                 self.tell_answer(subject)
 
-    def _what_counts(self, subject: poison.Subject) -> frozenset[str]:
+    def _what_counts(
+        self, subject: poison_requests.Fingerprint
+    ) -> frozenset[str]:
         """Returns the runs whose end counts against a request."""
         return frozenset(end.server for end in self._ledger.ends_of(subject))
 
@@ -373,8 +381,10 @@
             return None
         try:
             reply = _REPLIES.decode(body)
-            poison.check(poison.Told(reply.ends, reply.answers))
-        except (codec.CodecError, poison.UntrueError) as error:
+            poison_requests.validate_report(
+                poison_requests.PoisonReport(reply.ends, reply.answers)
+            )
+        except (codec.CodecError, poison_requests.InvalidReportError) as error:
             self._journal.decision(
                 "peer_message_unreadable",
                 path=PATH.decode(),
@@ -424,7 +434,7 @@
             count = min(len(addresses), settings.asked_first_count)
             asked = tuple(random.sample(addresses, count))
             reply = await self._tell_each(Word(asks_all=True), asked)
-            self._take(poison.Told(reply.ends, reply.answers))
+            self._take(poison_requests.PoisonReport(reply.ends, reply.answers))
             if len(reply.unreached) < count:
                 return
             is_quick = self._clock.monotonic_s() < quick_until_s
@@ -441,7 +451,7 @@
         Without first ends, which most instances do not know.
         """
         digest = 0
-        for subject in self._ledger.suspects():
+        for subject in self._ledger.list_suspects():
             servers = self._what_counts(subject)
             if len(servers) > 1:
                 for server in servers:
@@ -476,8 +486,8 @@
             codec.CodecError: It cannot be read.
         """
         word = _WORDS.decode(body)
-        told = poison.Told(word.ends, word.answers)
-        poison.check(told)
+        told = poison_requests.PoisonReport(word.ends, word.answers)
+        poison_requests.validate_report(told)
         known = self._say_all() if word.asks_all else self._say_more(word)
         self._take(told)
         passed_on = _NO_REPLY
@@ -506,7 +516,9 @@
             self._recorded_wall_s.pop(key, None)
             return
         record = _RECORDS.decode(value)
-        poison.check(poison.Told(record.ends))
+        poison_requests.validate_report(
+            poison_requests.PoisonReport(record.ends)
+        )
         self._recorded_wall_s[key] = record.written_wall_s
         # Clocks of hosts differ; nothing is younger than its record.
         passed_s = max(self._clock.wall_s() - record.written_wall_s, 0.0)
@@ -517,30 +529,30 @@
             )
             for end in record.ends
         ]
-        self._take(poison.Told(tuple(ends)))
+        self._take(poison_requests.PoisonReport(tuple(ends)))
 
     async def drop_old_records(self) -> None:
         """Takes records out of the log that say nothing any more."""
-        oldest_s = self._clock.wall_s() - self._ledger.settings.remember_s
+        oldest_s = self._clock.wall_s() - self._ledger.settings.retention_s
         for key, written_s in list(self._recorded_wall_s.items()):
             is_old = written_s < oldest_s
             if is_old and await self._put_record(logs.KeyedRecord(key, b"")):
                 self._recorded_wall_s.pop(key, None)
 
-    def _take(self, told: poison.Told) -> None:
+    def _take(self, told: poison_requests.PoisonReport) -> None:
         """Takes in what others know."""
-        for subject in self._ledger.take(told):
+        for subject in self._ledger.merge_report(told):
             self._write_refused(subject)
         for server in {end.server for end in told.ends}:
             self.on_seen_ended(ids.ServerId(server))
 
     def _say_all(self) -> Word:
         """Returns all that is known, or the newest of it."""
-        return self._say(self._ledger.suspects())
+        return self._say(self._ledger.list_suspects())
 
     def _say_more(self, word: Word) -> Word:
         """Returns what is known of the requests that a word names."""
-        named = {poison.Subject(end.subject) for end in word.ends}
+        named = {poison_requests.Fingerprint(end.subject) for end in word.ends}
         told = {(end.subject, end.server) for end in word.ends}
         known = self._say(named)
         more = tuple(
@@ -548,9 +560,11 @@
         )
         return known._replace(ends=more)
 
-    def _say(self, subjects: Iterable[poison.Subject]) -> Word:
+    def _say(self, subjects: Iterable[poison_requests.Fingerprint]) -> Word:
         """Returns what is known of some requests."""
-        return Word(*self._ledger.tell(subjects, self._settings.ends_max_count))
+        return Word(
+            *self._ledger.build_report(subjects, self._settings.ends_max_count)
+        )
 
     # The log.
 
--- a/libs/bridgecross-entry/tests/test_crash_watch.py
+++ b/libs/bridgecross-entry/tests/test_crash_watch.py
@@ -9,11 +9,11 @@
 from bridgecross_entry import crash_watch
 from bridgecross_entry import metrics
 from bridgecross_entry import servers
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 pytestmark = pytest.mark.anyio
 
-SUBJECT = poison.Subject(b"s" * 16)
+SUBJECT = poison_requests.Fingerprint(b"s" * 16)
 BROKEN = attempts.Interrupted("reset")
 REFUSED = attempts.NotSent("refused", refused=True)
 ANSWERED = outcomes.Answered(200, (), b"")
@@ -47,7 +47,9 @@
         )
         self.server = support.make_server("a")
         self.book.put(self.server)
-        self.ledger = poison.PoisonLedger(poison.PoisonSettings(), real)
+        self.ledger = poison_requests.PoisonLedger(
+            poison_requests.PoisonSettings(), real
+        )
         self.watch = crash_watch.CrashWatch(
             crash_watch.CrashWatchSettings(),
             self.ledger,
@@ -192,7 +194,7 @@
     scene = Scene()
     await _end_runs(scene, "b", "c")
     scene.visit(FAILED)
-    other = poison.Subject(b"o" * 16)
+    other = poison_requests.Fingerprint(b"o" * 16)
     visit = scene.watch.begin(other, "other", scene.server)
     scene.watch.end(visit, ANSWERED)
     assert scene.counted == 0
@@ -204,7 +206,7 @@
     scene.visit(FAILED)
     scene.watch.note_ended(scene.server.server_id)
     scene.visit(BROKEN)
-    other = poison.Subject(b"o" * 16)
+    other = poison_requests.Fingerprint(b"o" * 16)
     visit = scene.watch.begin(other, "other", scene.server)
     scene.watch.end(visit, ANSWERED)
     assert scene.counted == 2
@@ -214,7 +216,7 @@
 async def test_others_are_told_of_an_answer_before_a_third_end():
     for names, told in ((("b",), 0), (("b", "c"), 1)):
         scene = Scene()
-        cleared: list[poison.Subject] = []
+        cleared: list[poison_requests.Fingerprint] = []
         scene.watch.on_cleared = cleared.append
         await _end_runs(scene, *names)
         scene.visit(ANSWERED)
@@ -271,12 +273,14 @@
 
 async def test_trials_are_remembered_within_bounds():
     scene = Scene()
-    asked: list[poison.Subject] = []
+    asked: list[poison_requests.Fingerprint] = []
     scene.watch.rank = lambda subject: asked.append(subject) or 0
     for number in range(200):
-        subject = poison.Subject(number.to_bytes(16, "big"))
+        subject = poison_requests.Fingerprint(number.to_bytes(16, "big"))
         for server in ("b", "c"):
-            scene.ledger.put_end(poison.End(subject, server, 1.0, 2.0))
+            scene.ledger.record_end(
+                poison_requests.RunEnd(subject, server, 1.0, 2.0)
+            )
         for _ in range(2):
             scene.watch.may_send(subject)
     assert len(asked) <= 200
--- a/libs/bridgecross-entry/tests/test_permit_client.py
+++ b/libs/bridgecross-entry/tests/test_permit_client.py
@@ -124,7 +124,7 @@
     wanted = permit_client.Wanted(
         RAPOR,
         1,
-        queueing.Due(now_s + 1.0, now_s + 2.0),
+        queueing.Deadlines(now_s + 1.0, now_s + 2.0),
         server,
         (),
         is_current,
@@ -319,7 +319,7 @@
                 permit_client.Wanted(
                     RAPOR,
                     1,
-                    queueing.Due(now_s + 1.0, now_s + 2.0),
+                    queueing.Deadlines(now_s + 1.0, now_s + 2.0),
                     support.make_server("a"),
                     (),
                     lambda: True,
--- a/libs/bridgecross-entry/tests/test_poison_news.py
+++ b/libs/bridgecross-entry/tests/test_poison_news.py
@@ -8,7 +8,7 @@
 from bridgecross_entry import model
 from bridgecross_entry import peers
 from bridgecross_entry import poison_news
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 pytestmark = pytest.mark.anyio
 
@@ -36,7 +36,9 @@
     def __init__(self) -> None:
         real = clock.SystemClock()
         self.client = Client(real)
-        self.ledger = poison.PoisonLedger(poison.PoisonSettings(), real)
+        self.ledger = poison_requests.PoisonLedger(
+            poison_requests.PoisonSettings(), real
+        )
         self.news = poison_news.PoisonNews(
             poison_news.PoisonNewsSettings(),
             self.ledger,
@@ -55,14 +57,18 @@
 
     @property
     def counted(self) -> int:
-        return len(self.ledger.ends_of(poison.Subject(SUBJECT)))
+        return len(self.ledger.ends_of(poison_requests.Fingerprint(SUBJECT)))
 
 
 def _end(server="a", subject=SUBJECT, sent_ago_s=0.2, ended_ago_s=0.1):
-    return poison.ToldEnd(subject, server, sent_ago_s, ended_ago_s)
+    return poison_requests.RunEndReport(
+        subject, server, sent_ago_s, ended_ago_s
+    )
 
 
-def _word(*ends: poison.ToldEnd, **fields: object) -> poison_news.Word:
+def _word(
+    *ends: poison_requests.RunEndReport, **fields: object
+) -> poison_news.Word:
     return poison_news.Word(ends, **fields)
 
 
@@ -89,7 +95,9 @@
         ),
         pytest.param(
             WORDS.encode(
-                _word(answers=(poison.ToldAnswer(SUBJECT, math.inf),))
+                _word(
+                    answers=(poison_requests.AnswerReport(SUBJECT, math.inf),)
+                )
             ),
             "answers[0]: the age is inf s",
             id="answered never",
@@ -98,7 +106,9 @@
 )
 async def test_a_word_that_makes_no_sense_is_left_aside(body, place):
     scene = Scene()
-    with pytest.raises((codec.CodecError, poison.UntrueError)) as caught:
+    with pytest.raises(
+        (codec.CodecError, poison_requests.InvalidReportError)
+    ) as caught:
         await scene.news.answer(body)
     if "[" in place:
         assert place in str(caught.value)
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -17,7 +17,7 @@
 from bridgecross_entry import peers
 from bridgecross_entry import poison_news
 from bridgecross_entry import relaying
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 pytestmark = pytest.mark.anyio
 
@@ -94,7 +94,9 @@
         journal = support.make_journal(real)
         return poison_news.PoisonNews(
             poison_news.PoisonNewsSettings(),
-            poison.PoisonLedger(poison.PoisonSettings(), real),
+            poison_requests.PoisonLedger(
+                poison_requests.PoisonSettings(), real
+            ),
             peers.PeerClient(peers.PeerSettings(), journal, real),
             tuple,
             lambda record: platform_log.put("instances", record),
--- a/libs/bridgecross-request/src/bridgecross_request/__init__.py
+++ b/libs/bridgecross-request/src/bridgecross_request/__init__.py
@@ -5,7 +5,7 @@
 * ``queueing``: slots of a backend server, given out in order of priority.
 * ``backends``: sends a request to a backend server.
 * ``intents``: the log's record of requests that may not run twice.
-* ``poison``: requests under which one server after another ends.
+* ``poison_requests``: requests under which one server after another ends.
 * ``runner``: runs a request on the instance that fronts the owner.
 * ``routing``: takes a request to the front of the key's owner, with retries.
 * ``retries``: a retry budget as a share of the traffic.
@@ -15,7 +15,7 @@
     "backends",
     "callers",
     "intents",
-    "poison",
+    "poison_requests",
     "queueing",
     "requests",
     "retries",
--- a/libs/bridgecross-request/src/bridgecross_request/callers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/callers.py
@@ -22,14 +22,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NoPlace:
+class NoTier:
     """A known caller has no place in any tier of the service."""
 
     # The caller's name in the settings.
     caller: str
 
 
-Admission = Admitted | UnknownCaller | NoPlace
+Admission = Admitted | UnknownCaller | NoTier
 """What the settings say of a caller and a service."""
 
 
@@ -43,5 +43,5 @@
         return UnknownCaller()
     tier_name = caller.tiers.get(f"{place}/{service.name}")
     if tier_name is None:
-        return NoPlace(caller.name)
+        return NoTier(caller.name)
     return Admitted(caller.name, service.tiers[tier_name])
--- a/libs/bridgecross-request/src/bridgecross_request/error_answers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/error_answers.py
@@ -7,7 +7,7 @@
 Pure bookkeeping, bounded in entries.
 """
 
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _SERVERS_MAX_COUNT = 128
 _SUBJECTS_MAX_COUNT = 32
@@ -21,10 +21,13 @@
     def __init__(self) -> None:
         """Knows of none."""
         # When each request was answered with an error, by the server.
-        self._errors_s: dict[str, dict[poison.Subject, float]] = {}
+        self._errors_s: dict[str, dict[poison_requests.Fingerprint, float]] = {}
 
     def note_error(
-        self, server: str, subject: poison.Subject, answered_s: float
+        self,
+        server: str,
+        subject: poison_requests.Fingerprint,
+        answered_s: float,
     ) -> None:
         """Remembers that a server answered a request with an error."""
         errors_s = self._errors_s.setdefault(server, {})
@@ -35,7 +38,9 @@
         if len(self._errors_s) > _SERVERS_MAX_COUNT:
             del self._errors_s[next(iter(self._errors_s))]
 
-    def take_confirmed(self, server: str, sent_s: float) -> list[poison.Answer]:
+    def take_confirmed(
+        self, server: str, sent_s: float
+    ) -> list[poison_requests.Answer]:
         """Returns the errors after which a server answered something.
 
         Args:
@@ -46,7 +51,7 @@
         if errors_s is None:
             return []
         confirmed = [
-            poison.Answer(subject, answered_s)
+            poison_requests.Answer(subject, answered_s)
             for subject, answered_s in errors_s.items()
             if answered_s <= sent_s
         ]
--- a/libs/bridgecross-request/src/bridgecross_request/poison.py
+++ b/libs/bridgecross-request/src/bridgecross_request/poison_requests.py
@@ -22,15 +22,15 @@
 
 from bridgecross_core import clock as clocks
 
-Subject = NewType("Subject", bytes)
+Fingerprint = NewType("Fingerprint", bytes)
 """Names a request whatever its id, by what it asks for."""
 
-SUBJECT_BYTES = 16
+FINGERPRINT_BYTES = 16
 
 
-def name_subject(
+def compute_fingerprint(
     host: str, method: bytes, target: bytes, body: bytes
-) -> Subject:
+) -> Fingerprint:
     """Returns what a request is known by when it comes again.
 
     Who asks is no part of it: what servers end under ends them whoever asks,
@@ -47,7 +47,7 @@
         # Lengths keep parts apart: no two requests read the same in a row.
         digest.update(b"%d:" % len(part))
         digest.update(part)
-    return Subject(digest.digest())
+    return Fingerprint(digest.digest())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,14 +59,14 @@
     ends_max_count: int = 3
     # For how long an end counts. A request that is refused wrongly is served
     # again after that; one that is poison may end servers once more.
-    remember_s: float = 600.0
+    retention_s: float = 600.0
     # A request that was answered so shortly before servers ended is one that
     # servers can run. Ends at the same time then have another cause, such as
     # the loss of a failure domain, and count as one.
-    answered_for_s: float = 10.0
+    recent_answer_s: float = 10.0
     # Servers that ended under another request, one without an answer lately,
     # before it accounts for them. Of one end, anything may be the cause.
-    accounts_from_count: int = 2
+    likelier_cause_min_ends: int = 2
     # Requests whose ends are remembered, 0.5 KB each.
     subjects_max_count: int = 1_024
     # Requests whose answers are remembered, 0.2 KB each: at 400 a second those
@@ -75,10 +75,10 @@
     answers_max_count: int = 4_096
 
 
-class End(NamedTuple):
+class RunEnd(NamedTuple):
     """A server's run that ended while a request was at work there."""
 
-    subject: Subject
+    subject: Fingerprint
     # Names the run.
     server: str
     # When the request went there, and when its connection broke, on the
@@ -90,12 +90,12 @@
 class Answer(NamedTuple):
     """A request has been answered by a server."""
 
-    subject: Subject
+    subject: Fingerprint
     answered_s: float
 
 
-class ToldEnd(NamedTuple):
-    """An ``End`` between hosts, whose steady clocks differ."""
+class RunEndReport(NamedTuple):
+    """An ``RunEnd`` between hosts, whose steady clocks differ."""
 
     subject: bytes
     server: str
@@ -103,21 +103,21 @@
     ended_ago_s: float
 
 
-class ToldAnswer(NamedTuple):
+class AnswerReport(NamedTuple):
     """An ``Answer`` between hosts."""
 
     subject: bytes
     answered_ago_s: float
 
 
-class Told(NamedTuple):
+class PoisonReport(NamedTuple):
     """What one host tells another of some requests."""
 
-    ends: tuple[ToldEnd, ...] = ()
-    answers: tuple[ToldAnswer, ...] = ()
+    ends: tuple[RunEndReport, ...] = ()
+    answers: tuple[AnswerReport, ...] = ()
 
 
-class UntrueError(ValueError):
+class InvalidReportError(ValueError):
     """What a host tells cannot be true; says where."""
 
 
@@ -126,7 +126,7 @@
 
     def __init__(self) -> None:
         """Knows of no end."""
-        self.ends: dict[str, End] = {}
+        self.ends: dict[str, RunEnd] = {}
         self.answered_s = -math.inf
 
 
@@ -143,14 +143,14 @@
         self.settings = settings
         self._clock = clock
         # Both with the newest last.
-        self._suspects: dict[Subject, _Suspect] = {}
-        self._answers: dict[Subject, float] = {}
+        self._suspects: dict[Fingerprint, _Suspect] = {}
+        self._answers: dict[Fingerprint, float] = {}
 
-    def note_answer(self, subject: Subject) -> None:
+    def record_answer_now(self, subject: Fingerprint) -> None:
         """Remembers that a server has just answered a request."""
-        self.put_answer(Answer(subject, self._clock.monotonic_s()))
+        self.record_answer(Answer(subject, self._clock.monotonic_s()))
 
-    def put_answer(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Remembers when a request was answered."""
         known_s = self._answers.pop(answer.subject, -math.inf)
         self._answers[answer.subject] = max(known_s, answer.answered_s)
@@ -160,7 +160,7 @@
         if suspect is not None:
             suspect.answered_s = max(suspect.answered_s, answer.answered_s)
 
-    def put_end(self, end: End) -> bool:
+    def record_end(self, end: RunEnd) -> bool:
         """Remembers that a run ended under a request.
 
         Returns:
@@ -170,7 +170,7 @@
         if suspect is None:
             suspect = _Suspect()
             suspect.answered_s = self._answers.get(end.subject, -math.inf)
-            self._make_room()
+            self._evict_oldest()
         self._suspects[end.subject] = suspect
         known = suspect.ends.get(end.server)
         if known is not None:
@@ -186,7 +186,7 @@
             del suspect.ends[oldest.server]
         return True
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         """Forgets the oldest suspect; one that is refused, last of all."""
         if len(self._suspects) < self.settings.subjects_max_count:
             return
@@ -196,32 +196,32 @@
                 return
         del self._suspects[next(iter(self._suspects))]
 
-    def is_nearly_refused(self, subject: Subject) -> bool:
+    def is_nearly_refused(self, subject: Fingerprint) -> bool:
         """Whether one more end would be enough."""
         return len(self.ends_of(subject)) >= self.settings.ends_max_count - 1
 
-    def is_suspect(self, subject: Subject) -> bool:
+    def is_suspect(self, subject: Fingerprint) -> bool:
         """Whether a server ended under a request, with no answer since."""
         return bool(self.ends_of(subject))
 
-    def refused_for_s(self, subject: Subject) -> float:
+    def refused_for_s(self, subject: Fingerprint) -> float:
         """Returns for how much longer a request is to be refused; 0 if not."""
         suspect = self._suspects.get(subject)
         if suspect is None or len(suspect.ends) < self.settings.ends_max_count:
             return 0.0
         ends = self.ends_of(subject)
-        if self._count(suspect, ends) < self.settings.ends_max_count:
+        if self._count_blamed(suspect, ends) < self.settings.ends_max_count:
             return 0.0
         newest_s = max(end.ended_s for end in ends)
-        left_s = newest_s + self.settings.remember_s
+        left_s = newest_s + self.settings.retention_s
         return max(left_s - self._clock.monotonic_s(), 0.0)
 
-    def ends_of(self, subject: Subject) -> list[End]:
+    def ends_of(self, subject: Fingerprint) -> list[RunEnd]:
         """Returns the ends that count: no answer has come since."""
         suspect = self._suspects.get(subject)
         if suspect is None:
             return []
-        from_s = self._clock.monotonic_s() - self.settings.remember_s
+        from_s = self._clock.monotonic_s() - self.settings.retention_s
         return [
             end
             for end in suspect.ends.values()
@@ -230,19 +230,19 @@
             if end.sent_s > suspect.answered_s and end.ended_s > from_s
         ]
 
-    def _count(self, suspect: _Suspect, ends: list[End]) -> int:
+    def _count_blamed(self, suspect: _Suspect, ends: list[RunEnd]) -> int:
         """Returns how many ends speak against a request."""
         first_s = min((end.sent_s for end in ends), default=math.inf)
         if not self._was_answered_before(suspect, first_s):
             return len(ends)
-        own = [end for end in ends if not self._is_accounted_for(end)]
-        return _count_in_turn(own)
+        own = [end for end in ends if not self._has_likelier_cause(end)]
+        return _count_consecutive(own)
 
     def _was_answered_before(self, suspect: _Suspect, at_s: float) -> bool:
         """Whether a request was answered shortly before a moment."""
-        return at_s - suspect.answered_s <= self.settings.answered_for_s
+        return at_s - suspect.answered_s <= self.settings.recent_answer_s
 
-    def _is_accounted_for(self, end: End) -> bool:
+    def _has_likelier_cause(self, end: RunEnd) -> bool:
         """Whether a run ended under a request that is the likelier cause."""
         return any(
             end.server in other.ends and self._is_likelier_cause(subject)
@@ -250,23 +250,23 @@
             if subject != end.subject
         )
 
-    def _is_likelier_cause(self, subject: Subject) -> bool:
+    def _is_likelier_cause(self, subject: Fingerprint) -> bool:
         """Whether servers ended under a request without an answer lately."""
         ends = self.ends_of(subject)
-        if len(ends) < self.settings.accounts_from_count:
+        if len(ends) < self.settings.likelier_cause_min_ends:
             return False
         first_s = min(end.sent_s for end in ends)
         return not self._was_answered_before(self._suspects[subject], first_s)
 
-    def suspects(self) -> list[Subject]:
+    def list_suspects(self) -> list[Fingerprint]:
         """Returns the requests with ends that count, the newest last."""
         return [each for each in self._suspects if self.ends_of(each)]
 
-    def known_subjects(self) -> list[Subject]:
+    def list_known(self) -> list[Fingerprint]:
         """Returns all requests that servers ended under, answered or not."""
         return list(self._suspects)
 
-    def answer_of(self, subject: Subject) -> Answer | None:
+    def answer_of(self, subject: Fingerprint) -> Answer | None:
         """Returns when a request was last answered, as far as remembered."""
         answered_s = self._answers.get(subject)
         suspect = self._suspects.get(subject)
@@ -278,7 +278,9 @@
 
     # Between hosts.
 
-    def tell(self, subjects: Iterable[Subject], ends_max_count: int) -> Told:
+    def build_report(
+        self, subjects: Iterable[Fingerprint], ends_max_count: int
+    ) -> PoisonReport:
         """Returns what is known of some requests, as of now.
 
         Args:
@@ -289,9 +291,9 @@
         subjects = list(subjects)
         ends = [end for each in subjects for end in self.ends_of(each)]
         answers = [self.answer_of(each) for each in subjects]
-        return Told(
+        return PoisonReport(
             tuple(
-                ToldEnd(
+                RunEndReport(
                     end.subject,
                     end.server,
                     now_s - end.sent_s,
@@ -300,32 +302,32 @@
                 for end in ends[-ends_max_count:]
             ),
             tuple(
-                ToldAnswer(each.subject, now_s - each.answered_s)
+                AnswerReport(each.subject, now_s - each.answered_s)
                 for each in answers
                 if each is not None
             ),
         )
 
-    def take(self, told: Told) -> list[Subject]:
+    def merge_report(self, told: PoisonReport) -> list[Fingerprint]:
         """Takes in what another host knows.
 
         Returns:
             The requests that are refused from now on.
 
         Raises:
-            UntrueError: It cannot be true; nothing of it is taken in.
+            InvalidReportError: It cannot be true; nothing of it is taken in.
         """
-        check(told)
-        named = {Subject(end.subject) for end in told.ends}
+        validate_report(told)
+        named = {Fingerprint(end.subject) for end in told.ends}
         passed = [each for each in named if not self.refused_for_s(each)]
         now_s = self._clock.monotonic_s()
         for answer in told.answers:
             answered_s = now_s - answer.answered_ago_s
-            self.put_answer(Answer(Subject(answer.subject), answered_s))
+            self.record_answer(Answer(Fingerprint(answer.subject), answered_s))
         for end in told.ends:
-            self.put_end(
-                End(
-                    Subject(end.subject),
+            self.record_end(
+                RunEnd(
+                    Fingerprint(end.subject),
                     end.server,
                     now_s - end.sent_ago_s,
                     now_s - end.ended_ago_s,
@@ -333,18 +335,18 @@
             )
         return [each for each in passed if self.refused_for_s(each)]
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Drops what no longer counts."""
         for subject in list(self._suspects):
             if not self.ends_of(subject):
                 del self._suspects[subject]
 
 
-def check(told: Told) -> None:
+def validate_report(told: PoisonReport) -> None:
     """Looks whether what another host tells can be true.
 
     Raises:
-        UntrueError: It cannot.
+        InvalidReportError: It cannot.
     """
     for number, end in enumerate(told.ends):
         ages_s = (end.sent_ago_s, end.ended_ago_s)
@@ -356,14 +358,16 @@
 
 def _check_entry(place: str, subject: bytes, ages_s: Iterable[float]) -> None:
     """Looks whether one entry can be true."""
-    if len(subject) != SUBJECT_BYTES:
-        raise UntrueError(f"{place}: the subject has {len(subject)} bytes")
+    if len(subject) != FINGERPRINT_BYTES:
+        raise InvalidReportError(
+            f"{place}: the subject has {len(subject)} bytes"
+        )
     for age_s in ages_s:
         if not math.isfinite(age_s) or age_s < 0:
-            raise UntrueError(f"{place}: the age is {age_s} s")
+            raise InvalidReportError(f"{place}: the age is {age_s} s")
 
 
-def _count_in_turn(ends: Iterable[End]) -> int:
+def _count_consecutive(ends: Iterable[RunEnd]) -> int:
     """Returns how many ends lie one after the other.
 
     Each of them is of a run that got the request after the one before ended.
--- a/libs/bridgecross-request/src/bridgecross_request/queueing.py
+++ b/libs/bridgecross-request/src/bridgecross_request/queueing.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class TierPlace:
+class QueueTier:
     """How one tier stands in a queue."""
 
     # The tier's name.
@@ -54,7 +54,7 @@
     limit: int
 
 
-class Due(NamedTuple):
+class Deadlines(NamedTuple):
     """When an answer is wanted, on the monotonic clock."""
 
     # An answer is worth less after this.
@@ -82,8 +82,8 @@
 class _Waiter:
     """A request that waits for a slot."""
 
-    place: TierPlace
-    due: Due
+    place: QueueTier
+    due: Deadlines
     granted: anyio.Event
 
 
@@ -146,7 +146,9 @@
         )
         return self._wait_behind_s(ahead)
 
-    async def acquire(self, place: TierPlace, due: Due) -> Granted | Refused:
+    async def acquire(
+        self, place: QueueTier, due: Deadlines
+    ) -> Granted | Refused:
         """Waits for a slot.
 
         A request that will hardly get a slot before its deadline is refused at
@@ -170,7 +172,7 @@
                 return self._refuse("the deadline cannot be met", wait_s)
         return await self._wait(waiter)
 
-    def try_acquire(self, place: TierPlace, due: Due) -> bool:
+    def try_acquire(self, place: QueueTier, due: Deadlines) -> bool:
         """Takes a slot if there is one at this moment; returns whether so."""
         waiter = _Waiter(place, due, anyio.Event())
         is_late = self._is_late(waiter, self._clock.monotonic_s())
@@ -179,7 +181,7 @@
         self.take(place)
         return True
 
-    def take(self, place: TierPlace) -> None:
+    def take(self, place: QueueTier) -> None:
         """Takes a slot, also one beyond those that there are.
 
         The holder must release it.
@@ -197,7 +199,7 @@
             return False
         return self._busy < max(settings.late_slots, 1.0)
 
-    def release(self, held_s: float, place: TierPlace) -> None:
+    def release(self, held_s: float, place: QueueTier) -> None:
         """Gives a slot back.
 
         Args:
@@ -250,7 +252,7 @@
         self._grant_next()
         self._wake_late()
 
-    def _needs_s(self, place: TierPlace) -> float:
+    def _needs_s(self, place: QueueTier) -> float:
         """Returns how long a request of a tier holds a slot, on average."""
         return self._tiers.get(place.name, self._service).value_s
 
--- a/libs/bridgecross-request/src/bridgecross_request/runner.py
+++ b/libs/bridgecross-request/src/bridgecross_request/runner.py
@@ -19,7 +19,7 @@
 from bridgecross_request import backends
 from bridgecross_request import error_answers
 from bridgecross_request import intents
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import queueing
 from bridgecross_request import requests
 
@@ -39,7 +39,7 @@
     # The share of slots that goes to the lowest waiting tier.
     starvation_share_ratio: float
     # How each tier stands in the queue, by the tier's name.
-    places: dict[str, queueing.TierPlace]
+    places: dict[str, queueing.QueueTier]
 
 
 class AddressBook(Protocol):
@@ -74,8 +74,8 @@
     clock: clocks.Clock
     # What is known of requests that servers ended under, and who is told of
     # a request of which more is known.
-    ledger: poison.PoisonLedger
-    tell_others: Callable[[poison.Subject], None]
+    ledger: poison_requests.PoisonLedger
+    tell_others: Callable[[poison_requests.Fingerprint], None]
 
 
 class _Attempt(NamedTuple):
@@ -191,7 +191,7 @@
         place = self._find_place(request.tier)
         self.waiting[request.tier] += 1
         try:
-            due = queueing.Due(request.deadline_s, request.deadline_s)
+            due = queueing.Deadlines(request.deadline_s, request.deadline_s)
             answer = await queue.acquire(place, due)
         finally:
             self.waiting[request.tier] -= 1
@@ -290,14 +290,14 @@
         if await ports.backend.is_refusing(address):
             self._errors.forget(attempt.keeper.server)
             run = self._name_run(attempt.keeper.server, sent_s, ended_s)
-            end = poison.End(subject, run, sent_s, ended_s)
-            if ports.ledger.put_end(end):
+            end = poison_requests.RunEnd(subject, run, sent_s, ended_s)
+            if ports.ledger.record_end(end):
                 ports.tell_others(subject)
 
     def _take_answered(
         self,
         server: ids.ServerId,
-        subject: poison.Subject,
+        subject: poison_requests.Fingerprint,
         sent_s: float,
         status: int,
     ) -> None:
@@ -306,14 +306,14 @@
         for answer in self._errors.take_confirmed(server, sent_s):
             self._take_answer(answer)
         if status < _FIRST_ERROR_STATUS:
-            self._take_answer(poison.Answer(subject, now_s))
+            self._take_answer(poison_requests.Answer(subject, now_s))
         else:
             self._errors.note_error(server, subject, now_s)
 
-    def _take_answer(self, answer: poison.Answer) -> None:
+    def _take_answer(self, answer: poison_requests.Answer) -> None:
         """Remembers that a server ran a request, and lived."""
         was_suspect = self._ports.ledger.is_suspect(answer.subject)
-        self._ports.ledger.put_answer(answer)
+        self._ports.ledger.record_answer(answer)
         if was_suspect:
             self._ports.tell_others(answer.subject)
 
@@ -336,7 +336,7 @@
             retry_after_ms=_NO_OWNER_RETRY_MS,
         )
 
-    def _find_place(self, tier: str) -> queueing.TierPlace:
+    def _find_place(self, tier: str) -> queueing.QueueTier:
         """Returns how a tier stands; an unknown one stands last."""
         places = self._settings.places
         if tier in places:
@@ -366,9 +366,9 @@
         return max(request.deadline_s - self._ports.clock.monotonic_s(), 0.0)
 
 
-def _name_subject(request: requests.Request) -> poison.Subject:
+def _name_subject(request: requests.Request) -> poison_requests.Fingerprint:
     """Returns what a request is known by, whatever its id."""
-    return poison.name_subject(
+    return poison_requests.compute_fingerprint(
         request.service,
         request.method.encode(),
         request.target.encode(),
--- a/libs/bridgecross-request/tests/test_error_answers.py
+++ b/libs/bridgecross-request/tests/test_error_answers.py
@@ -1,7 +1,7 @@
 from bridgecross_request import error_answers
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
-SUBJECT = poison.Subject(b"s" * 16)
+SUBJECT = poison_requests.Fingerprint(b"s" * 16)
 
 
 def test_an_error_counts_once_its_server_answers_what_came_later():
@@ -9,7 +9,9 @@
     errors.note_error("a", SUBJECT, 2.0)
     assert errors.take_confirmed("a", 1.9) == []
     assert errors.take_confirmed("b", 3.0) == []
-    assert errors.take_confirmed("a", 2.0) == [poison.Answer(SUBJECT, 2.0)]
+    assert errors.take_confirmed("a", 2.0) == [
+        poison_requests.Answer(SUBJECT, 2.0)
+    ]
     assert errors.take_confirmed("a", 3.0) == []
 
 
@@ -23,7 +25,7 @@
 def test_errors_are_bounded():
     errors = error_answers.ErrorAnswers()
     for number in range(1_000):
-        subject = poison.Subject(number.to_bytes(16, "big"))
+        subject = poison_requests.Fingerprint(number.to_bytes(16, "big"))
         errors.note_error("a", subject, 1.0)
         errors.note_error(f"server-{number}", subject, 1.0)
     kept = [
--- a/libs/bridgecross-request/tests/test_poison.py
+++ b/libs/bridgecross-request/tests/test_poison_requests.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
-SUBJECT = poison.Subject(b"s" * 16)
-SETTINGS = poison.PoisonSettings()
+SUBJECT = poison_requests.Fingerprint(b"s" * 16)
+SETTINGS = poison_requests.PoisonSettings()
 
 
 class Clock:
@@ -26,17 +26,21 @@
 
     def __init__(self, **settings: object) -> None:
         self.clock = Clock()
-        self.ledger = poison.PoisonLedger(
+        self.ledger = poison_requests.PoisonLedger(
             dataclasses.replace(SETTINGS, **settings), self.clock
         )
 
     def end(self, server: str, sent_s: float, ended_s: float) -> None:
         """A run ended; times count from the start of the test."""
-        end = poison.End(SUBJECT, server, 1_000 + sent_s, 1_000 + ended_s)
-        self.ledger.put_end(end)
+        end = poison_requests.RunEnd(
+            SUBJECT, server, 1_000 + sent_s, 1_000 + ended_s
+        )
+        self.ledger.record_end(end)
 
     def answer(self, answered_s: float) -> None:
-        self.ledger.put_answer(poison.Answer(SUBJECT, 1_000 + answered_s))
+        self.ledger.record_answer(
+            poison_requests.Answer(SUBJECT, 1_000 + answered_s)
+        )
 
     @property
     def is_refused(self) -> bool:
@@ -96,15 +100,15 @@
 
 
 def test_ends_count_for_a_bounded_time():
-    scene = Scene(remember_s=60.0)
+    scene = Scene(retention_s=60.0)
     scene.clock.now_s += 5
     for end in THREE_IN_TURN:
         scene.end(*end)
     assert scene.ledger.refused_for_s(SUBJECT) == 60.0
     scene.clock.now_s += 61
     assert not scene.is_refused
-    scene.ledger.forget_old()
-    assert scene.ledger.suspects() == []
+    scene.ledger.remove_expired()
+    assert scene.ledger.list_suspects() == []
 
 
 def test_what_is_refused_is_forgotten_last():
@@ -113,21 +117,25 @@
     for end in THREE_IN_TURN:
         scene.end(*end)
     for number in range(20):
-        other = poison.Subject(number.to_bytes(16, "big"))
-        scene.ledger.put_end(poison.End(other, "z", 1_001, 1_002))
-    assert len(scene.ledger.suspects()) == 4
+        other = poison_requests.Fingerprint(number.to_bytes(16, "big"))
+        scene.ledger.record_end(
+            poison_requests.RunEnd(other, "z", 1_001, 1_002)
+        )
+    assert len(scene.ledger.list_suspects()) == 4
     assert scene.is_refused
 
 
 def test_answers_are_bounded():
     scene = Scene(answers_max_count=3)
     for number in range(9):
-        subject = poison.Subject(number.to_bytes(16, "big"))
-        scene.ledger.note_answer(subject)
+        subject = poison_requests.Fingerprint(number.to_bytes(16, "big"))
+        scene.ledger.record_answer_now(subject)
     known = [
         number
         for number in range(9)
-        if scene.ledger.answer_of(poison.Subject(number.to_bytes(16, "big")))
+        if scene.ledger.answer_of(
+            poison_requests.Fingerprint(number.to_bytes(16, "big"))
+        )
     ]
     assert known == [6, 7, 8]
 
@@ -148,19 +156,24 @@
     ],
 )
 def test_a_request_is_known_by_what_it_asks_for(other):
-    subject = poison.name_subject(*REQUEST)
-    assert subject == poison.name_subject(*REQUEST)
-    assert subject != poison.name_subject(*other)
-    assert len(poison.name_subject(*other)) == poison.SUBJECT_BYTES
+    subject = poison_requests.compute_fingerprint(*REQUEST)
+    assert subject == poison_requests.compute_fingerprint(*REQUEST)
+    assert subject != poison_requests.compute_fingerprint(*other)
+    assert (
+        len(poison_requests.compute_fingerprint(*other))
+        == poison_requests.FINGERPRINT_BYTES
+    )
 
 
-OTHER = poison.Subject(b"o" * 16)
+OTHER = poison_requests.Fingerprint(b"o" * 16)
 
 
 def _end_other(scene: Scene, *ends: tuple[str, float, float]) -> None:
     for server, sent_s, ended_s in ends:
-        end = poison.End(OTHER, server, 1_000 + sent_s, 1_000 + ended_s)
-        scene.ledger.put_end(end)
+        end = poison_requests.RunEnd(
+            OTHER, server, 1_000 + sent_s, 1_000 + ended_s
+        )
+        scene.ledger.record_end(end)
 
 
 @pytest.mark.parametrize(
@@ -198,8 +211,8 @@
         if not others_first:
             _end_other(scene, *others)
         for answered_s in other_answers:
-            answer = poison.Answer(OTHER, 1_000 + answered_s)
-            scene.ledger.put_answer(answer)
+            answer = poison_requests.Answer(OTHER, 1_000 + answered_s)
+            scene.ledger.record_answer(answer)
         assert scene.is_refused == refused
 
 
@@ -215,18 +228,35 @@
 @pytest.mark.parametrize(
     ("told", "problem"),
     [
-        (poison.Told((poison.ToldEnd(b"s" * 15, "a", 1, 0),)), "15 bytes"),
-        (poison.Told((poison.ToldEnd(b"", "a", 1, 0),)), "0 bytes"),
-        (poison.Told((poison.ToldEnd(b"s" * 17, "a", 1, 0),)), "17 bytes"),
         (
-            poison.Told((), (poison.ToldAnswer(b"s" * 64, 0),)),
+            poison_requests.PoisonReport(
+                (poison_requests.RunEndReport(b"s" * 15, "a", 1, 0),)
+            ),
+            "15 bytes",
+        ),
+        (
+            poison_requests.PoisonReport(
+                (poison_requests.RunEndReport(b"", "a", 1, 0),)
+            ),
+            "0 bytes",
+        ),
+        (
+            poison_requests.PoisonReport(
+                (poison_requests.RunEndReport(b"s" * 17, "a", 1, 0),)
+            ),
+            "17 bytes",
+        ),
+        (
+            poison_requests.PoisonReport(
+                (), (poison_requests.AnswerReport(b"s" * 64, 0),)
+            ),
             "answers[0]: the subject has 64 bytes",
         ),
     ],
 )
 def test_told_subjects_of_a_wrong_length_are_refused(told, problem):
     scene = Scene()
-    with pytest.raises(poison.UntrueError) as caught:
-        scene.ledger.take(told)
+    with pytest.raises(poison_requests.InvalidReportError) as caught:
+        scene.ledger.merge_report(told)
     assert problem in str(caught.value)
-    assert scene.ledger.known_subjects() == []
+    assert scene.ledger.list_known() == []
--- a/libs/bridgecross-request/tests/test_queueing.py
+++ b/libs/bridgecross-request/tests/test_queueing.py
@@ -6,9 +6,9 @@
 
 pytestmark = pytest.mark.anyio
 
-FIRST = queueing.TierPlace("authority", 1, 8)
-LAST = queueing.TierPlace("contractor", 3, 2)
-FAR = queueing.Due(1e9, 1e9)
+FIRST = queueing.QueueTier("authority", 1, 8)
+LAST = queueing.QueueTier("contractor", 3, 2)
+FAR = queueing.Deadlines(1e9, 1e9)
 
 
 def _queue(
@@ -19,13 +19,13 @@
 
 
 async def _serve(
-    queue: queueing.TierQueue, places: list[queueing.TierPlace]
+    queue: queueing.TierQueue, places: list[queueing.QueueTier]
 ) -> list[str]:
     """Lets requests queue behind one that runs; returns who got the slot."""
     order: list[str] = []
     assert isinstance(await queue.acquire(FIRST, FAR), queueing.Granted)
 
-    async def request(place: queueing.TierPlace) -> None:
+    async def request(place: queueing.QueueTier) -> None:
         if isinstance(await queue.acquire(place, FAR), queueing.Granted):
             order.append(place.name)
             queue.release(0.001, place)
@@ -91,7 +91,7 @@
     await queue.acquire(FIRST, FAR)
     near_s = clock.SystemClock().monotonic_s() + 0.5
     with anyio.fail_after(0.2):
-        refused = await queue.acquire(FIRST, queueing.Due(near_s, near_s))
+        refused = await queue.acquire(FIRST, queueing.Deadlines(near_s, near_s))
     assert isinstance(refused, queueing.Refused)
     assert "deadline" in refused.reason
 
@@ -106,22 +106,22 @@
     assert queue.busy == 0
 
 
-def _due(target_s: float, deadline_s: float) -> queueing.Due:
+def _due(target_s: float, deadline_s: float) -> queueing.Deadlines:
     """Returns times counted from now."""
     now_s = clock.SystemClock().monotonic_s()
-    return queueing.Due(now_s + target_s, now_s + deadline_s)
+    return queueing.Deadlines(now_s + target_s, now_s + deadline_s)
 
 
 async def _order(
     queue: queueing.TierQueue,
-    waiting: list[tuple[str, queueing.TierPlace, queueing.Due]],
+    waiting: list[tuple[str, queueing.QueueTier, queueing.Deadlines]],
 ) -> list[str]:
     """Lets requests queue behind one that runs; returns who got the slot."""
     order: list[str] = []
     await queue.acquire(FIRST, FAR)
 
     async def request(
-        name: str, place: queueing.TierPlace, due: queueing.Due
+        name: str, place: queueing.QueueTier, due: queueing.Deadlines
     ) -> None:
         if isinstance(await queue.acquire(place, due), queueing.Granted):
             order.append(name)
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -19,7 +19,7 @@
 from bridgecross_entry import proofs
 from bridgecross_entry import server_list
 from bridgecross_entry import servers
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 _SINCE = feeds.Feed.since
 
@@ -85,7 +85,7 @@
 
     def name(request):
         host = f"{request.caller} {request.host}"
-        return poison.name_subject(
+        return poison_requests.compute_fingerprint(
             host, request.method, request.target, request.body
         )
 
--- a/tests/emulated/test_poison_news.py
+++ b/tests/emulated/test_poison_news.py
@@ -26,10 +26,10 @@
 from bridgecross_emulator import virtual
 from bridgecross_entry import attempts
 from bridgecross_entry import model
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 KNOWN_WITHIN_S = 0.3
-SUBJECT = poison.name_subject("host", b"GET", b"/deadly", b"")
+SUBJECT = poison_requests.compute_fingerprint("host", b"GET", b"/deadly", b"")
 
 
 class Scene:
