--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -16,15 +16,15 @@
 from bridgecross_emulator import house as houses
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import log as logs
 
 _FOREIGN = (b"[" * 20_000, b"\xff\xfe", b"", b"rapor 10.2.0.1 x staying 5")
 _TOPICS = (
     instances.CONFIGURATION_TOPIC,
     servers.SERVER_TOPIC,
-    beliefs.KEY_TOPIC,
-    beliefs.INSTANCE_TOPIC,
+    cluster_state.KEY_TOPIC,
+    cluster_state.INSTANCE_TOPIC,
 )
 
 
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
@@ -150,14 +150,14 @@
 
     def decode_evacuation(
         self, record: logs.KeyedRecord
-    ) -> evacuations.Word | None:
+    ) -> evacuations.EvacuationChange | None:
         """Returns what a record says of a failure domain."""
         if not record.key.startswith(EVACUATION_PREFIX):
             return None
         if record.value not in (b"", b"{}"):
             raise ValueError(f"{record.value!r} is no evacuation")
         domain = record.key.removeprefix(EVACUATION_PREFIX)
-        return evacuations.Word(domain, bool(record.value))
+        return evacuations.EvacuationChange(domain, bool(record.value))
 
 
 def _make_service(
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
@@ -13,7 +13,7 @@
 from bridgecross_emulator import servers
 from bridgecross_emulator import traffic
 from bridgecross_emulator import work
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import keymap
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
@@ -97,7 +97,7 @@
             killed.append(leader)
 
     def note(topic: str) -> None:
-        if topic == beliefs.KEY_TOPIC:
+        if topic == cluster_state.KEY_TOPIC:
             log.on_appended = lambda _: None
             work.call_later(_KILL_AFTER_S, kill)
 
@@ -240,7 +240,7 @@
     """An instance is taken off the list, as one that was away for long."""
     address = scene.instance(target).settings.peer_address
     gone = logs.KeyedRecord(str(address), b"")
-    scene.house.log.add(beliefs.INSTANCE_TOPIC, gone)
+    scene.house.log.add(cluster_state.INSTANCE_TOPIC, gone)
     return lambda: None
 
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
@@ -10,7 +10,7 @@
 * ``dispatch``: the life of a request.
 * ``edge``: the listener towards callers.
 * ``log``: the platform's log, and how its topics are followed.
-* ``beliefs``: servers, configuration and key maps, read or told.
+* ``cluster_state``: servers, configuration and key maps, read or told.
 * ``leadership``: which instance reads and coordinates for all.
 * ``keymap``: which server owns which range of keys.
 * ``load``, ``load_view``: the load of keys and servers, told and summed up.
@@ -22,11 +22,11 @@
 * ``listener``: HTTP towards callers and peers.
 * ``crash_watch``: finds out which requests servers ended under.
 * ``poison_news``: tells all instances of that.
-* ``duties``: what instances do for one another.
+* ``cluster_tasks``: what instances do for one another.
 * ``tasks``: tasks of the background that outlive their faults.
 * ``follower``, ``feeds``, ``relaying``: topics read, and told to others.
 * ``server_list``: the platform's list of servers, and their runs.
-* ``left_aside``: records that make no sense.
+* ``invalid_records``: records that make no sense.
 * ``assembly``: puts the parts of an instance together.
 * ``runtime``: runs them with listeners and signals.
 """
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -12,10 +12,10 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_entry import attempts
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
+from bridgecross_entry import cluster_tasks
 from bridgecross_entry import crash_watch
 from bridgecross_entry import dispatch
-from bridgecross_entry import duties
 from bridgecross_entry import edge
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -31,7 +31,7 @@
 from bridgecross_request import poison
 
 
-class Adapter(beliefs.Decoder, Protocol):
+class Adapter(cluster_state.Decoder, Protocol):
     """What a platform provides; it decides nothing."""
 
     @property
@@ -135,8 +135,10 @@
             self.watch,
         )
         is_first = self.settings.is_first_start
-        self.beliefs = beliefs.Beliefs(
-            beliefs.FIRST_START if is_first else beliefs.BeliefSettings(),
+        self.beliefs = cluster_state.ClusterState(
+            cluster_state.FIRST_START_SETTINGS
+            if is_first
+            else cluster_state.ClusterStateSettings(),
             self.log,
             adapter,
             self.book,
@@ -156,8 +158,8 @@
         self.dispatcher.configuration_age_s = lambda: (
             self.beliefs.configuration_age_s
         )
-        self.duties = duties.Duties(
-            duties.DutySettings(),
+        self.duties = cluster_tasks.ClusterTasks(
+            cluster_tasks.ClusterTaskSettings(),
             self.settings,
             self.log,
             self.lease_client,
--- a/libs/bridgecross-entry/src/bridgecross_entry/beliefs.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -18,9 +18,9 @@
 from bridgecross_entry import evacuations
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
+from bridgecross_entry import invalid_records
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
-from bridgecross_entry import left_aside
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
 from bridgecross_entry import server_list
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeliefSettings:
+class ClusterStateSettings:
     """How often the log is read."""
 
     # Servers write their entries several times a second together, so waiting
@@ -74,7 +74,7 @@
     # 1.7 s of the 2 s allowed (docs/design/age-of-beliefs.md).
     own_read_age_s: float = 1.3
     # For so long after its start an instance leaves all reading to the leader;
-    # see ``FIRST_START``.
+    # see ``FIRST_START_SETTINGS``.
     first_read_wait_s: float = 0.0
     # A new instance waits for the leader's word until this one has read of it.
     instance_wait_ms: float = 1_200.0
@@ -90,7 +90,7 @@
     list_fresh_s: float = 1.6
 
 
-FIRST_START = BeliefSettings(first_read_wait_s=4.0)
+FIRST_START_SETTINGS = ClusterStateSettings(first_read_wait_s=4.0)
 """While the whole system starts for the first time there is no hurry: callers
 come about ten seconds later, and after two a leader is found and has told
 everybody. Four reads of each instance are then one of the leader; calls to the
@@ -127,7 +127,7 @@
 
     def decode_evacuation(
         self, record: logs.KeyedRecord
-    ) -> evacuations.Word | None:
+    ) -> evacuations.EvacuationChange | None:
         """Returns what a record of the configuration's topic says of a domain.
 
         None if it says nothing of any.
@@ -149,12 +149,12 @@
 """Up to where an instance knows the topics."""
 
 
-class Beliefs:
+class ClusterState:
     """Follows the log's topics and keeps what they say."""
 
     def __init__(
         self,
-        settings: BeliefSettings,
+        settings: ClusterStateSettings,
         log: logs.PlatformLog,
         decoder: Decoder,
         book: servers_lib.ServerBook,
@@ -200,7 +200,8 @@
         self._configuration_is_unreadable = False
         topics = (decoder.configuration_topic, KEY_TOPIC, INSTANCE_TOPIC)
         self._aside = {
-            topic: left_aside.LeftAside(topic, journal) for topic in topics
+            topic: invalid_records.InvalidRecords(topic, journal)
+            for topic in topics
         }
         self._servers = feeds.Feed(decoder.server_topic)
         self._list = server_list.ServerList(
@@ -285,7 +286,7 @@
         counts[self._servers.topic] = self._list.left_aside.count
         return counts
 
-    def _aside_of(self, feed: feeds.Feed) -> left_aside.LeftAside:
+    def _aside_of(self, feed: feeds.Feed) -> invalid_records.InvalidRecords:
         """Returns what was left aside of a topic."""
         return self._aside[feed.topic]
 
@@ -454,7 +455,10 @@
         words, unclear = self._read_evacuations(records)
         # What no record says any more is over; what cannot be read stands.
         gone = evacuated - {word.domain for word in words} - unclear
-        words += [evacuations.Word(domain, False) for domain in sorted(gone)]
+        words += [
+            evacuations.EvacuationChange(domain, False)
+            for domain in sorted(gone)
+        ]
         self._evacuate(words)
         self._apply_configurations(records)
 
@@ -469,7 +473,7 @@
 
     def _read_evacuations(
         self, records: tuple[logs.KeyedRecord, ...]
-    ) -> tuple[list[evacuations.Word], set[str]]:
+    ) -> tuple[list[evacuations.EvacuationChange], set[str]]:
         """Returns what records say of failure domains.
 
         Returns:
@@ -502,7 +506,7 @@
             return set()
         return {word.domain} if word else set()
 
-    def _evacuate(self, words: list[evacuations.Word]) -> None:
+    def _evacuate(self, words: list[evacuations.EvacuationChange]) -> None:
         """Puts what the operator says of failure domains in force."""
         if words:
             known_s = self._configurations.follower.heard_s
--- a/libs/bridgecross-entry/src/bridgecross_entry/duties.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -16,7 +16,7 @@
 from bridgecross_core import hashing
 from bridgecross_core import ids
 from bridgecross_entry import attempts
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import coordinator
 from bridgecross_entry import dispatch
 from bridgecross_entry import journal as journals
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySettings:
+class ClusterTaskSettings:
     """How often duties are done."""
 
     # How often load is reported: a hot key is seen after two reports.
@@ -56,17 +56,17 @@
     peer_lost_s: float = 20.0
 
 
-class Duties:
+class ClusterTasks:
     """What this instance does for others, and hears from them."""
 
     def __init__(
         self,
-        settings: DutySettings,
+        settings: ClusterTaskSettings,
         instance: model.InstanceSettings,
         log: logs.PlatformLog,
         lease_client: attempts.LeaseClient,
         peer_client: peers.PeerClient,
-        held: beliefs.Beliefs,
+        held: cluster_state.ClusterState,
         book: servers_lib.ServerBook,
         table: keymap.KeyTable,
         dispatcher: dispatch.Dispatcher,
@@ -118,7 +118,7 @@
             dispatcher.watch.ledger,
             self._peer_client,
             self._peers,
-            lambda record: log.put(beliefs.INSTANCE_TOPIC, record),
+            lambda record: log.put(cluster_state.INSTANCE_TOPIC, record),
             journal,
             clock,
         )
@@ -224,16 +224,20 @@
         """Keeps this instance on the list, and those that are gone off it."""
         own = self._platform.peer_address
         is_weak = leadership.LeadershipSettings().is_weak(self._platform)
-        listed = beliefs.ListedInstance(
+        listed = cluster_state.ListedInstance(
             self._platform.name, is_weak, self._platform.failure_domain
         )
-        record = logs.KeyedRecord(str(own), beliefs.INSTANCES.encode(listed))
+        record = logs.KeyedRecord(
+            str(own), cluster_state.INSTANCES.encode(listed)
+        )
         while not self._stopping:
             self._set_instances()
             known = self._beliefs.knows_instances
             known = known or self._platform.is_first_start
             missing = known and own not in self._beliefs.instances
-            if missing and await self._log.put(beliefs.INSTANCE_TOPIC, record):
+            if missing and await self._log.put(
+                cluster_state.INSTANCE_TOPIC, record
+            ):
                 self._beliefs.instances.add(own)
             if self._leadership.is_leader:
                 await self._drop_lost_peers()
@@ -252,7 +256,7 @@
                 "instance_dropped", address=str(peer), lost_s=round(lost_s, 1)
             )
             gone = logs.KeyedRecord(str(peer), b"")
-            if await self._log.put(beliefs.INSTANCE_TOPIC, gone):
+            if await self._log.put(cluster_state.INSTANCE_TOPIC, gone):
                 self._beliefs.instances.discard(peer)
 
     def _peers(self) -> tuple[model.Address, ...]:
@@ -372,7 +376,7 @@
             planner.PlanSettings(),
             self._platform,
             self._log,
-            beliefs.KEY_TOPIC,
+            cluster_state.KEY_TOPIC,
             self._beliefs.key_follower,
             keeper,
             self._book,
--- a/libs/bridgecross-entry/src/bridgecross_entry/evacuations.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/evacuations.py
@@ -27,7 +27,7 @@
     keys_ratio: float = 0.5
 
 
-class Word(NamedTuple):
+class EvacuationChange(NamedTuple):
     """What the operator says of a failure domain."""
 
     domain: str
@@ -103,7 +103,9 @@
                 took_s=round(took_s, 3),
             )
 
-    def take(self, words: Iterable[Word], known_s: float | None) -> set[str]:
+    def take(
+        self, words: Iterable[EvacuationChange], known_s: float | None
+    ) -> set[str]:
         """Takes what the operator says.
 
         Args:
--- a/libs/bridgecross-entry/src/bridgecross_entry/left_aside.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/invalid_records.py
@@ -14,7 +14,7 @@
 """Characters of a reason in a line: a finding's place and the first of them."""
 
 
-class LeftAside:
+class InvalidRecords:
     """What was left aside of one topic."""
 
     def __init__(self, topic: str, journal: journals.Journal) -> None:
--- a/libs/bridgecross-entry/src/bridgecross_entry/notices.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/notices.py
@@ -12,8 +12,8 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
 from bridgecross_entry import attempts
+from bridgecross_entry import invalid_records
 from bridgecross_entry import journal as journals
-from bridgecross_entry import left_aside
 from bridgecross_entry import model
 
 _RUNS_MAX_COUNT = 10_000
@@ -64,7 +64,7 @@
         self._on_leaving = on_leaving
         self._journal = journal
         self._clock = clock
-        self._unreadable = left_aside.LeftAside("answers", journal)
+        self._unreadable = invalid_records.InvalidRecords("answers", journal)
         # When each run that is leaving first said so, the first of them first.
         self._leaving_told_s: dict[ids.ServerId, float] = {}
         # Until when each run wants to be left alone, the last to say so last.
--- a/libs/bridgecross-entry/src/bridgecross_entry/peers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/peers.py
@@ -15,7 +15,7 @@
 from bridgecross_core import codec
 from bridgecross_core import ids
 from bridgecross_core import timeouts
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import exchange
 from bridgecross_entry import follower as followers
 from bridgecross_entry import journal as journals
@@ -152,7 +152,7 @@
 
     # Up to where it knows the topics, if it knows less than it was told of;
     # else nothing.
-    offsets: beliefs.Offsets = ()
+    offsets: cluster_state.Offsets = ()
     # What it knows beyond the leader of topics that the leader cannot read.
     batches: tuple[followers.TopicBatch, ...] = ()
     # Whether it counts for a majority.
--- a/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
@@ -31,7 +31,7 @@
 from bridgecross_core import hashing
 from bridgecross_core import ids
 from bridgecross_core import pulse
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import journal as journals
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
@@ -190,7 +190,7 @@
     def tell_answer(self, subject: poison.Subject) -> None:
         """Tells all others that a request was answered after all."""
         self._tell_soon(subject)
-        key = beliefs.REFUSED_PREFIX + subject.hex()
+        key = cluster_state.REFUSED_PREFIX + subject.hex()
         if key in self._recorded_wall_s:
             self._journal.decision("poison_cleared", subject=subject.hex())
             self._write_soon(logs.KeyedRecord(key, b""))
@@ -216,7 +216,7 @@
         """Lets the log keep that a request is refused."""
         told = self._ledger.tell([subject], self._settings.ends_max_count)
         record = Refused(self._clock.wall_s(), told.ends)
-        key = beliefs.REFUSED_PREFIX + subject.hex()
+        key = cluster_state.REFUSED_PREFIX + subject.hex()
         self._recorded_wall_s[key] = record.written_wall_s
         self._write_soon(logs.KeyedRecord(key, _RECORDS.encode(record)))
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -16,7 +16,7 @@
 import anyio.abc
 
 from bridgecross_core import clock as clocks
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import journal as journals
 from bridgecross_entry import leadership
 from bridgecross_entry import model
@@ -52,7 +52,7 @@
 
     encoded: bytes
     # Up to where a receiver knows the topics once it has taken it.
-    offsets: beliefs.Offsets
+    offsets: cluster_state.Offsets
     # When it was written, on the steady clock.
     written_s: float
 
@@ -71,7 +71,7 @@
     def __init__(
         self,
         settings: RelaySettings,
-        held: beliefs.Beliefs,
+        held: cluster_state.ClusterState,
         lead: leadership.Leadership,
         client: peers.PeerClient,
         news: poison_news.PoisonNews,
@@ -102,7 +102,7 @@
         self._journal = journal
         self._clock = clock
         # Up to where the others know the topics, by their last answers.
-        self._known: dict[model.Address, beliefs.Offsets] = {}
+        self._known: dict[model.Address, cluster_state.Offsets] = {}
         # Those that are being told what was too long for a word.
         self._catching_up: set[model.Address] = set()
         # Who was asked last what the others know.
@@ -135,7 +135,7 @@
         claim = self._leadership.claim
         sent_s = self._clock.monotonic_s()
         received: list[peers.Reception] = []
-        words: dict[tuple[beliefs.Offsets, bool], _Word] = {}
+        words: dict[tuple[cluster_state.Offsets, bool], _Word] = {}
         asked = self._choose_asked()
 
         async def tell_one(peer: model.Address) -> None:
@@ -223,7 +223,7 @@
         self._asked_last = (first + count) % len(addresses)
         return {addresses[(first + n) % len(addresses)] for n in range(count)}
 
-    def _make_word(self, known: beliefs.Offsets, *, asks: bool) -> _Word:
+    def _make_word(self, known: cluster_state.Offsets, *, asks: bool) -> _Word:
         """Returns the word for those that know the topics so far.
 
         One that would be too long holds nothing but the offsets: whoever knows
@@ -234,7 +234,9 @@
             return word
         return self._encode(self._beliefs.offsets(), asks=asks)
 
-    def _encode(self, known: beliefs.Offsets, *, asks: bool = False) -> _Word:
+    def _encode(
+        self, known: cluster_state.Offsets, *, asks: bool = False
+    ) -> _Word:
         """Returns all that is to be told to those that know so far."""
         relay = peers.Relay(
             self._leadership.claim,
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
@@ -6,8 +6,8 @@
 from bridgecross_core import clock as clocks
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
+from bridgecross_entry import invalid_records
 from bridgecross_entry import journal as journals
-from bridgecross_entry import left_aside
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
 from bridgecross_entry import servers as servers_lib
@@ -43,7 +43,7 @@
         self._book = book
         self._clock = clock
         # Entries that make no sense.
-        self.left_aside = left_aside.LeftAside(feed.topic, journal)
+        self.left_aside = invalid_records.InvalidRecords(feed.topic, journal)
 
     def take_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Takes in the whole list of backend servers."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -548,7 +548,7 @@
 
     def evacuate(
         self,
-        words: Iterable[evacuations_lib.Word],
+        words: Iterable[evacuations_lib.EvacuationChange],
         known_s: float | None,
     ) -> None:
         """Takes which failure domains the operator evacuates or takes back.
--- a/libs/bridgecross-entry/tests/belief_support.py
+++ b/libs/bridgecross-entry/tests/cluster_state_support.py
@@ -9,7 +9,7 @@
 from bridgecross_core import clock
 from bridgecross_core import findings
 from bridgecross_core import ids
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import evacuations
 from bridgecross_entry import follower
 from bridgecross_entry import journal as journals
@@ -44,7 +44,7 @@
             place = findings.Place(record.key)
             raise findings.FindingsError([findings.Finding(place, "bad")])
         domain = record.key.removeprefix("evacuate/")
-        return evacuations.Word(domain, bool(record.value))
+        return evacuations.EvacuationChange(domain, bool(record.value))
 
     def decode_configuration(self, record):
         if record.key.startswith("evacuate/"):
@@ -75,8 +75,8 @@
         self.versions: list[int] = []
         self.on_configure: Callable[[], None] = lambda: None
         self.table = keymap.KeyTable(journal)
-        self.beliefs = beliefs.Beliefs(
-            beliefs.BeliefSettings(),
+        self.beliefs = cluster_state.ClusterState(
+            cluster_state.ClusterStateSettings(),
             platform_log,
             Decoder(keyed=keyed),
             self.book,
@@ -103,7 +103,7 @@
 
     def __init__(self, reader: Reader) -> None:
         self._beliefs = reader.beliefs
-        self._known: dict[Reader, beliefs.Offsets] = {}
+        self._known: dict[Reader, cluster_state.Offsets] = {}
 
     def tell(self, *others: Reader) -> None:
         """Lets others hear the next word, and once more if they lack more."""
@@ -123,7 +123,9 @@
         known = self._known[other]
         return {b.topic: b for b in self._beliefs.news_since(known)}
 
-    def _speak(self, other: Reader, known: beliefs.Offsets) -> beliefs.Offsets:
+    def _speak(
+        self, other: Reader, known: cluster_state.Offsets
+    ) -> cluster_state.Offsets:
         batches = self._beliefs.news_since(known)
         reached = self._beliefs.offsets()
         other.beliefs.take_told(batches)
--- a/libs/bridgecross-entry/tests/test_beliefs.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -2,14 +2,14 @@
 import os
 
 import anyio
-import belief_support
+import cluster_state_support
 import entry_fakes as fakes
 import entry_support as support
 import pytest
 
 from bridgecross_core import clock
 from bridgecross_core import ids
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import follower
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -28,9 +28,9 @@
 
 async def _make_pair(platform_log):
     """Returns one that reads, one that it has told, and how it tells."""
-    reader = belief_support.Reader(platform_log)
-    told = belief_support.Reader(platform_log)
-    teller = belief_support.Teller(reader)
+    reader = cluster_state_support.Reader(platform_log)
+    told = cluster_state_support.Reader(platform_log)
+    teller = cluster_state_support.Teller(reader)
     await reader.read()
     await told.read()
     teller.tell(told)
@@ -42,7 +42,7 @@
 
 
 async def test_a_configuration_never_goes_back(platform_log):
-    reader = belief_support.Reader(platform_log)
+    reader = cluster_state_support.Reader(platform_log)
     await reader.read()
     _add(platform_log, "configuration", "config", b"5")
     _add(platform_log, "configuration", "config", b"3")
@@ -94,10 +94,10 @@
 
 async def test_a_warm_up_that_runs_off_is_not_told(platform_log):
     reader, told = (
-        belief_support.Reader(platform_log),
-        belief_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
     )
-    teller = belief_support.Teller(reader)
+    teller = cluster_state_support.Teller(reader)
     _add(platform_log, "servers", "b", b"rapor 3000")
     await reader.read()
     await told.read()
@@ -159,11 +159,16 @@
 
 
 async def test_an_instance_tells_whether_it_is_weak(platform_log):
-    reader = belief_support.Reader(platform_log)
+    reader = cluster_state_support.Reader(platform_log)
     for port, is_weak in ((1, False), (2, True)):
-        listed = beliefs.ListedInstance("entry", is_weak)
-        value = beliefs.INSTANCES.encode(listed)
-        _add(platform_log, beliefs.INSTANCE_TOPIC, f"127.0.0.1:{port}", value)
+        listed = cluster_state.ListedInstance("entry", is_weak)
+        value = cluster_state.INSTANCES.encode(listed)
+        _add(
+            platform_log,
+            cluster_state.INSTANCE_TOPIC,
+            f"127.0.0.1:{port}",
+            value,
+        )
     await reader.read()
     assert {a.port for a in reader.beliefs.instances} == {1, 2}
     assert {a.port for a in reader.beliefs.weak_instances} == {2}
@@ -186,8 +191,8 @@
 
 async def test_news_with_a_gap_are_not_taken(platform_log):
     reader, told = (
-        belief_support.Reader(platform_log),
-        belief_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
     )
     await reader.read()
     await told.read()
@@ -205,12 +210,12 @@
 
 async def test_an_instance_that_is_told_nothing_reads_for_itself(platform_log):
     reader, told = (
-        belief_support.Reader(platform_log),
-        belief_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
     )
     await reader.read()
     await told.read()
-    belief_support.Teller(reader).tell(told)
+    cluster_state_support.Teller(reader).tell(told)
     follower_ = told.beliefs.key_follower
     assert follower_._is_relayed()
     follower_.relayed_s -= follower_._settings.relay_fresh_s
@@ -230,9 +235,9 @@
 
 async def test_what_one_was_told_it_can_tell_on(platform_log):
     reader, next_one, third = (
-        belief_support.Reader(platform_log) for _ in range(3)
+        cluster_state_support.Reader(platform_log) for _ in range(3)
     )
-    teller = belief_support.Teller(reader)
+    teller = cluster_state_support.Teller(reader)
     for each in (reader, next_one, third):
         await each.read()
     teller.tell(next_one)
@@ -242,7 +247,7 @@
     await reader.read()
     teller.tell(next_one)
     # The next one leads from here on; nobody reads any more.
-    belief_support.Teller(next_one).tell(third)
+    cluster_state_support.Teller(next_one).tell(third)
     assert third.knows("b")
     gone = third.book.get(ids.ServerId("a"))
     assert gone is None or gone.unlisted
@@ -259,7 +264,7 @@
         (keymap.KeyRange(0, keymap.LAST_KEY, ids.ServerId("a"), 1),),
     )
     record = log.KeyedRecord(fakes.SERVICE, keymap.encode(key_map))
-    appended = await platform_log.append(beliefs.KEY_TOPIC, record, 0)
+    appended = await platform_log.append(cluster_state.KEY_TOPIC, record, 0)
     reader.beliefs.key_follower.note_own_append(appended.offset, record)
     teller.tell(told)
     assert told.table.newest(fakes.SERVICE) == key_map
@@ -273,16 +278,16 @@
 async def test_logs_tell_who_told_a_configuration_and_what_was_left_aside(
     platform_log,
 ):
-    reader = belief_support.Reader(platform_log)
+    reader = cluster_state_support.Reader(platform_log)
     await reader.read()
     reading_end, writing_end = os.pipe()
     # Made last: the newest journal takes over the output of the process.
     journal = journals.Journal(
         "told", journals.JournalSettings(), clock.SystemClock(), writing_end
     )
-    told = belief_support.Reader(platform_log, journal)
+    told = cluster_state_support.Reader(platform_log, journal)
     await told.read()
-    teller = belief_support.Teller(reader)
+    teller = cluster_state_support.Teller(reader)
     teller.tell(told)
     _add(platform_log, "configuration", "config", b"2")
     await reader.read()
@@ -323,12 +328,12 @@
 
 async def test_nothing_is_skipped_while_history_is_read_anew(platform_log):
     reader, told = (
-        belief_support.Reader(platform_log),
-        belief_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
+        cluster_state_support.Reader(platform_log),
     )
     await reader.read()
     await told.read()
-    teller = belief_support.Teller(reader)
+    teller = cluster_state_support.Teller(reader)
     for _ in range(3):
         teller.tell(told)
         await reader.read()
@@ -369,7 +374,7 @@
     _add(shared, "servers", "a", b"rapor")
     _add(shared, "configuration", "config", b"1")
     readers = [
-        belief_support.Reader(fakes.PartialLog(shared)) for _ in range(3)
+        cluster_state_support.Reader(fakes.PartialLog(shared)) for _ in range(3)
     ]
     for reader in readers:
         await reader.read()
@@ -378,7 +383,7 @@
 
 async def test_what_was_told_across_a_jump_is_told_on_as_one():
     shared, (first, second, third) = await _make_three()
-    teller = belief_support.Teller(first)
+    teller = cluster_state_support.Teller(first)
     teller.tell(second)
     _add(shared, "servers", "q", b"rapor")
     await third.read()
@@ -387,14 +392,14 @@
     shared.forget("servers")
     await first.read()
     teller.tell(second)
-    belief_support.Teller(second).tell(third)
+    cluster_state_support.Teller(second).tell(third)
     assert dict(third.beliefs.offsets())["servers"] == 4
     assert set(third.beliefs._list.listed) == {"a", "b"}
 
 
 async def test_one_failed_read_does_not_make_one_wait_for_a_lost_leader():
     shared, (leader, told, _) = await _make_three()
-    teller = belief_support.Teller(leader)
+    teller = cluster_state_support.Teller(leader)
     teller.tell(told)
     leader.beliefs._log.away_topics = {"configuration"}
     await leader.read()
@@ -420,16 +425,16 @@
     await leader.read()
     mine = fakes.PartialLog(shared)
     mine.away = True
-    fresh = belief_support.Reader(mine)
+    fresh = cluster_state_support.Reader(mine)
     await fresh.read()
-    belief_support.Teller(leader).tell(fresh)
+    cluster_state_support.Teller(leader).tell(fresh)
     assert fresh.versions == [1]
     assert fresh.beliefs.is_complete
 
 
 async def test_what_fails_to_be_taken_is_taken_again():
     shared, (leader, told, _) = await _make_three()
-    teller = belief_support.Teller(leader)
+    teller = cluster_state_support.Teller(leader)
     teller.tell(told)
     _add(shared, "configuration", "config", b"2")
     await leader.read()
@@ -501,7 +506,7 @@
 
 
 async def test_an_evacuation_that_nobody_names_any_more_is_over(platform_log):
-    reader = belief_support.Reader(platform_log)
+    reader = cluster_state_support.Reader(platform_log)
     _add(platform_log, "configuration", "evacuate/hall-1", b"{}")
     _add(platform_log, "configuration", "evacuate/hall-2", b"{}")
     await reader.read()
@@ -514,7 +519,7 @@
 
 @pytest.mark.parametrize("forgets", [False, True])
 async def test_what_makes_no_sense_changes_no_evacuation(platform_log, forgets):
-    reader = belief_support.Reader(platform_log)
+    reader = cluster_state_support.Reader(platform_log)
     _add(platform_log, "configuration", "evacuate/hall-1", b"{}")
     await reader.read()
     _add(platform_log, "configuration", "evacuate/hall-1", b"[[[")
--- a/libs/bridgecross-entry/tests/test_duties.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -1,15 +1,15 @@
 """What an instance does for the others, once it leads."""
 
 import anyio
-import belief_support
+import cluster_state_support
 import entry_fakes as fakes
 import entry_support as support
 import pytest
 
 from bridgecross_core import clock
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
+from bridgecross_entry import cluster_tasks
 from bridgecross_entry import dispatch
-from bridgecross_entry import duties
 from bridgecross_entry import log
 from bridgecross_entry import metrics
 from bridgecross_entry import peers
@@ -33,7 +33,7 @@
     def __init__(self, platform_log: fakes.MemoryLog) -> None:
         real = clock.SystemClock()
         journal = support.make_journal(real)
-        self.reader = belief_support.Reader(platform_log, keyed=True)
+        self.reader = cluster_state_support.Reader(platform_log, keyed=True)
         dispatcher = dispatch.Dispatcher(
             dispatch.DispatchSettings(),
             support.INSTANCE,
@@ -45,8 +45,8 @@
             real,
         )
         self.lease_servers = fakes.LeaseServers()
-        self.duties = duties.Duties(
-            duties.DutySettings(),
+        self.duties = cluster_tasks.ClusterTasks(
+            cluster_tasks.ClusterTaskSettings(),
             support.INSTANCE,
             platform_log,
             self.lease_servers,
@@ -78,7 +78,7 @@
     async with anyio.create_task_group() as tasks:
         scene.reader.beliefs.start(tasks)
         scene.duties.start(tasks)
-        listed = platform_log.records[beliefs.INSTANCE_TOPIC]
+        listed = platform_log.records[cluster_state.INSTANCE_TOPIC]
         await fakes.until(lambda: listed, 0.25)
         tasks.cancel_scope.cancel()
 
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -455,7 +455,8 @@
     backends = Backends(OK)
     scene = Scene(backends)
     scene.book.evacuate(
-        [evacuations.Word("hall-1", is_evacuated=True)], known_s=None
+        [evacuations.EvacuationChange("hall-1", is_evacuated=True)],
+        known_s=None,
     )
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -4,8 +4,8 @@
 from bridgecross_entry import evacuations
 from bridgecross_entry import servers
 
-ON = evacuations.Word("hall-1", is_evacuated=True)
-OFF = evacuations.Word("hall-1", is_evacuated=False)
+ON = evacuations.EvacuationChange("hall-1", is_evacuated=True)
+OFF = evacuations.EvacuationChange("hall-1", is_evacuated=False)
 KEYS_FOR_S = support.BOUNDS.evacuation_ms / 1_000 / 2
 
 
--- a/libs/bridgecross-entry/tests/test_feeds.py
+++ b/libs/bridgecross-entry/tests/test_feeds.py
@@ -8,7 +8,7 @@
 
 import anyio
 import anyio.lowlevel
-import belief_support
+import cluster_state_support
 import entry_fakes as fakes
 import pytest
 
@@ -44,8 +44,12 @@
             log.KeyedRecord("config", b"1")
         )
         self.logs = [fakes.PartialLog(self.shared) for _ in range(4)]
-        self.readers = [belief_support.Reader(each) for each in self.logs]
-        self.tellers = [belief_support.Teller(each) for each in self.readers]
+        self.readers = [
+            cluster_state_support.Reader(each) for each in self.logs
+        ]
+        self.tellers = [
+            cluster_state_support.Teller(each) for each in self.readers
+        ]
         # Words that are still under way, with whom they are for.
         self.late: list[tuple] = []
         self.steps = [
@@ -148,8 +152,8 @@
         index = self._pick()
         self.logs[index].let_all_go()
         self.logs[index] = fakes.PartialLog(self.shared)
-        self.readers[index] = belief_support.Reader(self.logs[index])
-        self.tellers[index] = belief_support.Teller(self.readers[index])
+        self.readers[index] = cluster_state_support.Reader(self.logs[index])
+        self.tellers[index] = cluster_state_support.Teller(self.readers[index])
 
     async def _turn_away(self):
         away = self._random.choice(
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -81,7 +81,7 @@
 
 
 def _evacuate(scene):
-    word = evacuations.Word("hall-1", is_evacuated=True)
+    word = evacuations.EvacuationChange("hall-1", is_evacuated=True)
     long_ago_s = time.clock_gettime(time.CLOCK_BOOTTIME) - 60.0
     scene.book.evacuate([word], long_ago_s)
 
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -3,13 +3,13 @@
 import dataclasses
 
 import anyio
-import belief_support
+import cluster_state_support
 import entry_fakes as fakes
 import entry_support as support
 import pytest
 
 from bridgecross_core import clock
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import exchange
 from bridgecross_entry import leadership
 from bridgecross_entry import log
@@ -55,7 +55,7 @@
         journal = support.make_journal(real)
         self.address = model.Address("127.0.0.1", 7_000 + len(members))
         members[self.address] = self
-        self.reader = belief_support.Reader(platform_log)
+        self.reader = cluster_state_support.Reader(platform_log)
         self.wire = Wire(members)
         self.lead = leadership.Leadership(
             leadership.LeadershipSettings(),
@@ -114,10 +114,14 @@
         self.shared = fakes.MemoryLog()
         self.add("servers", "a", b"rapor")
         self.configure(1)
-        listed = beliefs.INSTANCES.encode(beliefs.ListedInstance("x", False))
+        listed = cluster_state.INSTANCES.encode(
+            cluster_state.ListedInstance("x", False)
+        )
         for port in range(3):
             self.add(
-                beliefs.INSTANCE_TOPIC, f"127.0.0.1:{7_000 + port}", listed
+                cluster_state.INSTANCE_TOPIC,
+                f"127.0.0.1:{7_000 + port}",
+                listed,
             )
         self.logs = [fakes.PartialLog(self.shared) for _ in range(3)]
         members: dict[model.Address, Member] = {}
@@ -308,11 +312,11 @@
 async def test_one_that_knows_of_nobody_else_must_see_the_list_to_lead_alone():
     """Others may have listed themselves since it lost the log."""
     scene = Scene()
-    scene.shared.records[beliefs.INSTANCE_TOPIC].clear()
+    scene.shared.records[cluster_state.INSTANCE_TOPIC].clear()
     await scene.read()
     scene.leader.wire.members = {}
     scene.leader.relayer._addresses = tuple
-    scene.logs[0].away_topics = {beliefs.INSTANCE_TOPIC}
+    scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.leader.reader.read()
     await scene.leader.tell()
     assert scene.leader.lead.known_s == float("inf")
@@ -337,7 +341,7 @@
 
 async def test_who_does_not_know_the_others_counts_no_majority():
     scene = Scene()
-    scene.logs[0].away_topics = {beliefs.INSTANCE_TOPIC}
+    scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.read()
     await scene.leader.tell()
     assert scene.leader.lead.known_s == float("inf")
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -10,7 +10,7 @@
 
 from bridgecross_emulator import faults
 from bridgecross_emulator import search
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import coordinator
 from bridgecross_entry import dispatch
 from bridgecross_entry import feeds
@@ -26,10 +26,12 @@
 
 def _trust_whoever_speaks():
     """What is known is read only when nobody speaks, however old it is."""
-    settings = beliefs.BeliefSettings(
+    settings = cluster_state.ClusterStateSettings(
         own_read_age_s=math.inf, configuration_wait_ms=900.0
     )
-    return mock.patch.object(beliefs, "BeliefSettings", return_value=settings)
+    return mock.patch.object(
+        cluster_state, "ClusterStateSettings", return_value=settings
+    )
 
 
 def _stop_at_foreign_entries():
