--- a/libs/bridgecross-core/src/bridgecross_core/__init__.py
+++ b/libs/bridgecross-core/src/bridgecross_core/__init__.py
@@ -8,7 +8,7 @@
 * ``findings``: problems with their place, collected and reported together.
 * ``hashing``: keys to slices, and rendezvous ranking.
 * ``outcomes``: what became of a request.
-* ``pulse``: wakes the tasks that wait for a change.
+* ``notifier``: wakes the tasks that wait for a change.
 * ``signals``: turns the signals to stop into a call.
 * ``stamps``: a clock that orders events over all processes.
 * ``timeouts``: gives up a wait only after what has arrived was read.
@@ -20,8 +20,8 @@
     "findings",
     "hashing",
     "ids",
+    "notifier",
     "outcomes",
-    "pulse",
     "signals",
     "stamps",
     "timeouts",
--- a/libs/bridgecross-core/src/bridgecross_core/pulse.py
+++ b/libs/bridgecross-core/src/bridgecross_core/notifier.py
@@ -5,7 +5,7 @@
 import anyio
 
 
-class Pulse:
+class Notifier:
     """A broadcast: ``notify`` wakes all tasks that wait at that moment."""
 
     def __init__(self) -> None:
--- a/libs/bridgecross-core/tests/test_pulse.py
+++ b/libs/bridgecross-core/tests/test_notifier.py
@@ -1,13 +1,13 @@
 import anyio
 import pytest
 
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 
 pytestmark = pytest.mark.anyio
 
 
 async def test_wait_until_sees_a_change_and_a_timeout():
-    changed = pulse.Pulse()
+    changed = notifier.Notifier()
     state = {"open": False}
 
     async def open_later() -> None:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_ends.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_ends.py
@@ -10,7 +10,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_daemon import _platform
 from bridgecross_daemon import peering
 from bridgecross_daemon import ports
@@ -49,7 +49,7 @@
         self._client = client
         self._addresses = addresses
         self._clock = clock
-        self._news = pulse.Pulse()
+        self._news = notifier.Notifier()
         # Until when those who lack something are told again.
         self._owed: dict[ids.InstanceId, float] = {}
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -8,7 +8,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_daemon import _platform
 from bridgecross_daemon import _translate
 from bridgecross_daemon import peer_client
@@ -64,7 +64,7 @@
         """Puts the parts together; ``run`` brings them to life."""
         self.cell = cell
         self.service = service
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         self.book = reports.ReportBook(shared.clock)
         self._shared = shared
         self._forwarder = peer_client.PeerForwarder(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
@@ -15,7 +15,7 @@
 
 from bridgecross_core import codec
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_log import appender as appenders
 from bridgecross_log import follower as followers
 from bridgecross_log import records as log_records
@@ -60,7 +60,7 @@
         """Starts with neither settings nor services."""
         self.settings = versions.SettingsState()
         self.cells: dict[ids.ServiceName, cells.Cell] = {}
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         self.unreadable: list[UnreadableRecord] = []
         self.next_offset = ids.Offset(0)
         self.snapshot_as_of = ids.NO_OFFSET
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/log_model.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/log_model.py
@@ -14,7 +14,7 @@
 import anyio
 
 from bridgecross_core import clock as clocks
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_emulator import work as work_lib
 from bridgecross_entry import log as logs
 
@@ -54,8 +54,8 @@
         self._records: dict[str, list[logs.KeyedRecord]]
         self._records = collections.defaultdict(list)
         self._first: collections.Counter[str] = collections.Counter()
-        self._appended: dict[str, pulse.Pulse]
-        self._appended = collections.defaultdict(pulse.Pulse)
+        self._appended: dict[str, notifier.Notifier]
+        self._appended = collections.defaultdict(notifier.Notifier)
 
     def end(self, topic: str) -> int:
         """Returns the offset after the last record."""
@@ -131,7 +131,7 @@
         self._clock = clock
         self._idle: list[_Connection] = []
         self._busy: set[_Connection] = set()
-        self._healed = pulse.Pulse()
+        self._healed = notifier.Notifier()
 
     def cut(self) -> None:
         """Lets no byte pass."""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/network.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/network.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import exchange as exchanges
 from bridgecross_entry import model
 from bridgecross_entry import peers
@@ -55,7 +55,7 @@
         # The part of the packets that is lost, by direction.
         self._lost_ratio: dict[tuple[model.Address, model.Address], float] = {}
         self._rng = random.Random(1)
-        self._healed = pulse.Pulse()
+        self._healed = notifier.Notifier()
         # Counts up each time that all open connections go silent.
         self.silenced_count = 0
         # Messages that arrived, by their path, and the bytes of them and of
--- a/libs/bridgecross-entry/src/bridgecross_entry/beliefs.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/beliefs.py
@@ -14,7 +14,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import codec as codecs
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import evacuations
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
@@ -188,7 +188,7 @@
         # When a word about an instance last came.
         self._instances_changed_s = clock.monotonic_s()
         # Notified when there is something to tell others.
-        self.news = pulse.Pulse()
+        self.news = notifier.Notifier()
         self._settings = settings
         self._log = log
         self._decoder = decoder
--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -17,7 +17,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import follower as followers
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -127,7 +127,7 @@
         self._ranges: tuple[keymap.KeyRange, ...] = ()
         # The same, to be found at once: each renewal looks twice.
         self._range_set: frozenset[keymap.KeyRange] = frozenset()
-        self._wake = pulse.Pulse()
+        self._wake = notifier.Notifier()
         # Ranges whose move is under way, by first key.
         self._moving: set[int] = set()
         # Ranges that their prior owners hold no longer, by token and first
--- a/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
@@ -12,7 +12,7 @@
 
 from bridgecross_core import codec
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import journal as journals
 from bridgecross_entry import model
 
@@ -152,7 +152,7 @@
 
     def __init__(self, journal: journals.Journal) -> None:
         """Knows no map yet."""
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         self._journal = journal
         self._tables: dict[ids.ServiceName, _ServiceTable] = {}
         # Tokens of moves that are known to have ended, by service.
--- a/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/poison_news.py
@@ -30,7 +30,7 @@
 from bridgecross_core import codec
 from bridgecross_core import hashing
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import beliefs
 from bridgecross_entry import journal as journals
 from bridgecross_entry import log as logs
@@ -155,7 +155,7 @@
         self._put_record = put_record
         self._journal = journal
         self._clock = clock
-        self._news = pulse.Pulse()
+        self._news = notifier.Notifier()
         # The requests of which others have not been told yet.
         self._untold: dict[poison.Subject, None] = {}
         # Until when those who were not reached are tried again.
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -16,7 +16,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import evacuations as evacuations_lib
 from bridgecross_entry import journal as journals
 from bridgecross_entry import model
@@ -269,7 +269,7 @@
     ) -> None:
         """Knows no server yet."""
         self.settings = settings
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         # Called with each run that has certainly ended.
         self.on_run_ended: Callable[[ids.ServerId], None] = lambda _: None
         # When the list was heard of before what is being taken in.
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
@@ -8,7 +8,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_ownership import authority as authorities
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import releases
@@ -43,7 +43,7 @@
     witnesses: releases.WitnessSource
     releases: releases.ReleaseSource
     clock: clocks.Clock
-    changed: pulse.Pulse
+    changed: notifier.Notifier
 
 
 class EarlierFronts:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
@@ -7,7 +7,7 @@
 import anyio.abc
 
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import leases
 from bridgecross_ownership import releases
@@ -23,7 +23,7 @@
 
     cell: cells.Cell
     releases: releases.ReleaseSource
-    changed: pulse.Pulse
+    changed: notifier.Notifier
 
 
 class PriorOwners:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/fronts.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/fronts.py
@@ -6,7 +6,7 @@
 import anyio.abc
 
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import keeper as keeping
 from bridgecross_ownership import releases
@@ -37,7 +37,7 @@
         # The keepers of the offices that this instance holds, and of those
         # that it held and of which requests may still run.
         self._held: dict[_Office, keeping.Keeper] = {}
-        self._changed = pulse.Pulse()
+        self._changed = notifier.Notifier()
 
     @property
     def keepers(self) -> dict[ids.ServerId, keeping.Keeper]:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/keeper.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/keeper.py
@@ -17,7 +17,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_ownership import _earlier_fronts
 from bridgecross_ownership import _prior_owners
 from bridgecross_ownership import authority as authorities
@@ -92,7 +92,7 @@
         self.front = front
         self.settings = settings
         self.health = ServerHealth.UNKNOWN
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         self.load: collections.Counter[ids.SliceIndex] = collections.Counter()
         self._ports = ports
         self._log = loguru.logger.bind(server=server)
--- a/libs/bridgecross-request/src/bridgecross_request/routing.py
+++ b/libs/bridgecross-request/src/bridgecross_request/routing.py
@@ -10,8 +10,8 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import hashing
 from bridgecross_core import ids
+from bridgecross_core import notifier
 from bridgecross_core import outcomes
-from bridgecross_core import pulse
 from bridgecross_ownership import cell as cells
 from bridgecross_request import requests
 from bridgecross_request import retries
@@ -47,7 +47,7 @@
 
     me: ids.InstanceId
     cell: cells.Cell
-    changed: pulse.Pulse
+    changed: notifier.Notifier
     runner: LocalRunner
     forwarder: Forwarder
     clock: clocks.Clock
@@ -96,7 +96,7 @@
         self._running: list[_Forward] = []
         # Those that have ended and that nobody has looked at.
         self._ended: list[_Forward] = []
-        self._changed = pulse.Pulse()
+        self._changed = notifier.Notifier()
 
     def start(self, front: ids.InstanceId) -> _Forward:
         """Begins an attempt."""
--- a/libs/bridgecross-request/tests/test_routing.py
+++ b/libs/bridgecross-request/tests/test_routing.py
@@ -7,8 +7,8 @@
 
 from bridgecross_core import clock
 from bridgecross_core import ids
+from bridgecross_core import notifier
 from bridgecross_core import outcomes
-from bridgecross_core import pulse
 from bridgecross_core import stamps
 from bridgecross_ownership import cell as cells
 from bridgecross_request import requests
@@ -70,7 +70,7 @@
     return routing.RouterPorts(
         me=ME,
         cell=cell,
-        changed=pulse.Pulse(),
+        changed=notifier.Notifier(),
         runner=script,
         forwarder=script,
         clock=system,
--- a/libs/bridgecross-standins/src/bridgecross_standins/log_standin.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/log_standin.py
@@ -15,7 +15,7 @@
 
 from bridgecross_core import codec
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_log import service
 
 _MAX_BATCH = 1_000
@@ -86,7 +86,7 @@
         self.faults = LogFaults()
         self._settings = settings
         self._streams: dict[str, _Stream] = {}
-        self._appended = pulse.Pulse()
+        self._appended = notifier.Notifier()
         self._next_append_s = 0.0
         self._batches = codec.Codec(service.ReadBatch)
 
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -12,8 +12,8 @@
 import simpy
 
 from bridgecross_core import ids
+from bridgecross_core import notifier
 from bridgecross_core import outcomes
-from bridgecross_core import pulse
 from bridgecross_daemon import peering
 from bridgecross_log import records as log_records
 from bridgecross_log import service as log_service
@@ -80,7 +80,7 @@
         self.lose_acknowledgements = 0
         self.late_effect_s = 0.0
         self.on_append: Any = lambda link, envelope: None
-        self.appended = pulse.Pulse()
+        self.appended = notifier.Notifier()
 
     def connect(self, link: Link) -> "LogConnection":
         """Returns the log as one instance reaches it."""
