--- a/libs/bridgecross-entry/src/bridgecross_entry/admission.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/admission.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Has no queue yet."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -84,7 +84,7 @@
         )
         self.backend_client = adapter.make_backend_client()
         self.lease_client = adapter.make_lease_client()
-        self.book = servers_lib.ServerBook(
+        self.book = servers_lib.ServerRegistry(
             servers_lib.ServerSettings(), self.settings.bounds, journal, clock
         )
         self.backend_client.on_notice = self.book.notices.hear
@@ -147,13 +147,13 @@
             journal,
             clock,
         )
-        self.dispatcher.list_heard_s = lambda: self.beliefs.list_heard_s
+        self.dispatcher.list_heard_s = lambda: self.beliefs.server_list_as_of_s
         self._certainty = warmups.IssuerCertainty(
             warmups.WarmupSettings(),
             self.settings.peer_address,
             self._strong_instances,
             lambda: self.beliefs.instances_age_s,
-            lambda: self.beliefs.instances_settled_s,
+            lambda: self.beliefs.instances_unchanged_for_s,
         )
         self.dispatcher.configuration_age_s = lambda: (
             self.beliefs.configuration_age_s
--- a/libs/bridgecross-entry/src/bridgecross_entry/choosing.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/choosing.py
@@ -28,7 +28,7 @@
         self,
         settings: ChoiceSettings,
         instance: model.InstanceSettings,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         client: attempts.BackendClient,
         clock: clocks.Clock,
     ) -> None:
@@ -63,7 +63,7 @@
         return [
             server
             for server in self._book.of_service(service)
-            if self._book.may_use_any(server, now_s)
+            if self._book.may_use_without_key(server, now_s)
             and self.is_allowed(route, server.listed.failure_domain)
         ]
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -14,7 +14,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import codec as codecs
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import evacuations
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
@@ -157,7 +157,7 @@
         settings: ClusterStateSettings,
         log: logs.PlatformLog,
         decoder: Decoder,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         configure: Callable[[model.Configuration], None],
         journal: journals.Journal,
@@ -188,7 +188,7 @@
         # When a word about an instance last came.
         self._instances_changed_s = clock.monotonic_s()
         # Notified when there is something to tell others.
-        self.news = pulse.Pulse()
+        self.updated = notifier.Notifier()
         self._settings = settings
         self._log = log
         self._decoder = decoder
@@ -268,7 +268,7 @@
             take_changes,
             self._journal,
             self._clock,
-            self.news.notify if is_list else None,
+            self.updated.notify if is_list else None,
         )
 
     @property
@@ -291,9 +291,9 @@
         return self._aside[feed.topic]
 
     @property
-    def list_heard_s(self) -> float | None:
+    def server_list_as_of_s(self) -> float | None:
         """When the list of servers was last heard of."""
-        return self._servers.follower.heard_s
+        return self._servers.follower.as_of_s
 
     @property
     def configuration_age_s(self) -> float:
@@ -313,7 +313,7 @@
     @property
     def list_is_fresh(self) -> bool:
         """Whether the list of servers was read just now."""
-        heard_s = self.list_heard_s
+        heard_s = self.server_list_as_of_s
         if heard_s is None:
             return False
         age_s = self._clock.monotonic_s() - heard_s
@@ -340,14 +340,17 @@
         return self._instances.follower.age_s
 
     @property
-    def instances_settled_s(self) -> float:
+    def instances_unchanged_for_s(self) -> float:
         """For how long nothing has been heard of any instance."""
         return self._clock.monotonic_s() - self._instances_changed_s
 
     @property
     def is_complete(self) -> bool:
         """Whether there is enough to route requests by."""
-        return self.configuration is not None and self.list_heard_s is not None
+        return (
+            self.configuration is not None
+            and self.server_list_as_of_s is not None
+        )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Starts to follow all topics."""
@@ -358,10 +361,10 @@
 
     # Telling others.
 
-    def begin_telling(self) -> None:
+    def start_relaying(self) -> None:
         """Reads for all from now on, waiting for nobody's word."""
         for feed in self._feeds:
-            feed.follower.stop_waiting()
+            feed.follower.stop_awaiting_relay()
 
     def offsets(self) -> Offsets:
         """Returns up to where this instance knows the topics."""
@@ -370,7 +373,7 @@
             for feed in self._feeds
         )
 
-    def news_since(self, known: Offsets) -> tuple[followers.TopicBatch, ...]:
+    def changes_since(self, known: Offsets) -> tuple[followers.TopicBatch, ...]:
         """Returns what one that knows the topics up to some offsets is told.
 
         Args:
@@ -383,7 +386,7 @@
         ]
         return tuple(batch for batch in batches if batch is not None)
 
-    def take_told(
+    def apply_relayed(
         self,
         batches: tuple[followers.TopicBatch, ...],
         delay_s: float | None = 0.0,
@@ -397,9 +400,9 @@
         """
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
-            feed.follower.take_told(batch, delay_s)
+            feed.follower.apply_relayed(batch, delay_s)
             if feed.follower.next_offset != known_to:
-                feed.note_told(batch)
+                feed.note_applied(batch)
 
     def _match(
         self, batches: tuple[followers.TopicBatch, ...]
@@ -412,7 +415,7 @@
             if batch.topic in feed_of
         ]
 
-    def news_beyond(
+    def changes_for_lost_topics(
         self, batches: tuple[followers.TopicBatch, ...]
     ) -> tuple[followers.TopicBatch, ...]:
         """Returns what is known here of topics that a teller cannot read.
@@ -427,13 +430,15 @@
         ]
         return tuple(batch for batch in found if batch and batch.records)
 
-    def take_found(self, batches: tuple[followers.TopicBatch, ...]) -> None:
+    def apply_from_follower(
+        self, batches: tuple[followers.TopicBatch, ...]
+    ) -> None:
         """Takes in what another instance knows beyond this one."""
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
-            feed.follower.take_found(batch)
+            feed.follower.apply_from_follower(batch)
             if feed.follower.next_offset != known_to:
-                feed.note_told(batch)
+                feed.note_applied(batch)
 
     def is_behind(self, batches: tuple[followers.TopicBatch, ...]) -> bool:
         """Whether one that tells some batches knows more than this one."""
@@ -509,14 +514,14 @@
     def _evacuate(self, words: list[evacuations.EvacuationChange]) -> None:
         """Puts what the operator says of failure domains in force."""
         if words:
-            known_s = self._configurations.follower.heard_s
+            known_s = self._configurations.follower.as_of_s
             self._book.evacuate(words, known_s)
 
     def _apply_configurations(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
         """Puts the newest configuration in force, never an older one."""
-        self.news.notify()
+        self.updated.notify()
         for record in records:
             try:
                 new = self._decoder.decode_configuration(record)
@@ -559,7 +564,7 @@
             known_to=follower.next_offset,
             # The one before may have been out of force for so long at most.
             known_s_ago=(
-                None if follower.heard_s is None else round(follower.age_s, 3)
+                None if follower.as_of_s is None else round(follower.age_s, 3)
             ),
         )
 
@@ -608,7 +613,7 @@
 
     def _apply_instances(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Adds and takes off instances."""
-        self.news.notify()
+        self.updated.notify()
         for record in records:
             if record.key.startswith(REFUSED_PREFIX):
                 self._take_refused(record)
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -67,7 +67,7 @@
         lease_client: attempts.LeaseClient,
         peer_client: peers.PeerClient,
         held: cluster_state.ClusterState,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         dispatcher: dispatch.Dispatcher,
         journal: journals.Journal,
@@ -179,7 +179,7 @@
             self._journal,
         )
 
-    async def give_up(self) -> None:
+    async def hand_over_lead(self) -> None:
         """Lets another instance lead; goes on coordinating until it does.
 
         It stays on the list of instances. Most stops are restarts; the leader
@@ -198,7 +198,7 @@
         another; the last of them says nothing of the others.
         """
         while True:
-            await self._beliefs.news.wait(self._settings.register_interval_s)
+            await self._beliefs.updated.wait(self._settings.register_interval_s)
             self.match_coordinators()
 
     def match_coordinators(self) -> None:
@@ -244,7 +244,7 @@
                 await self.poison_news.drop_old_records()
             # The first look comes at once: the log may turn this instance away
             # a moment later, and nobody would know of it.
-            await self._beliefs.news.wait(self._settings.register_interval_s)
+            await self._beliefs.updated.wait(self._settings.register_interval_s)
 
     async def _drop_lost_peers(self) -> None:
         """Takes instances off the list that have been gone for long."""
@@ -284,7 +284,7 @@
     def _take_settled(self, settled: tuple[peers.Settled, ...]) -> None:
         """Takes the end of moves."""
         for each in settled:
-            self._table.settle(*each)
+            self._table.mark_settled(*each)
 
     def _view(self, service: ids.ServiceName) -> load_view.LoadView:
         """Returns the load of a service over all instances."""
@@ -330,9 +330,9 @@
     def _take_lead(self) -> None:
         """Takes the duties of the leader, or gives them up."""
         if self._leadership.is_leader:
-            self._beliefs.begin_telling()
+            self._beliefs.start_relaying()
             # The sooner the others know, the sooner orders may be given.
-            self._beliefs.news.notify()
+            self._beliefs.updated.notify()
         self.match_coordinators()
 
     async def _coordinate(
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -137,7 +137,7 @@
         self,
         settings: DispatchSettings,
         instance: model.InstanceSettings,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         client: attempts.BackendClient,
         journal: journals.Journal,
@@ -765,7 +765,7 @@
             life.goes_alone = True
             return False
         if left_s > 0:
-            server.cool(self._clock.monotonic_s() + left_s)
+            server.mark_cold(self._clock.monotonic_s() + left_s)
         return True
 
     def _still_right(
@@ -782,7 +782,7 @@
         ):
             return False
         if not keyed:
-            return self._book.may_use_any(server, now_s)
+            return self._book.may_use_without_key(server, now_s)
         return self._book.may_use(server, now_s) and self._owns(life, server)
 
     def _owns(self, life: _Life, server: servers_lib.Server) -> bool:
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -88,7 +88,7 @@
         bounds: model.Bounds,
         lead: Lead,
         client: attempts.LeaseClient,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -96,7 +96,7 @@
         settings: IssuerSettings,
         server_settings: servers_lib.ServerSettings,
         domain: str,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
@@ -444,7 +444,7 @@
             known = self._book.get(server.listed.server_id)
             if known is not None:
                 # Whoever answers there next has just started, for all.
-                known.cool(now_s + known.warmup_s)
+                known.mark_cold(now_s + known.warmup_s)
         elif ending is permits.Ending.UNREACHABLE:
             server.note_unreachable(now_s)
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -118,9 +118,9 @@
             told_count = 0
             while True:
                 # What comes while words are under way waits for no other news.
-                if self._beliefs.news.count == told_count:
-                    await self._beliefs.news.wait(self._settings.wait_s)
-                told_count = self._beliefs.news.count
+                if self._beliefs.updated.count == told_count:
+                    await self._beliefs.updated.wait(self._settings.wait_s)
+                told_count = self._beliefs.updated.count
                 if not self._leadership.is_leader:
                     self._known.clear()
                 elif self._beliefs.is_complete:
@@ -153,7 +153,7 @@
         async with anyio.create_task_group() as calls:
             for peer in self._addresses():
                 calls.start_soon(tell_one, peer)
-        told = leadership.Told(
+        told = leadership.RelayRound(
             claim.term,
             sent_s,
             peers=len(received),
@@ -162,9 +162,9 @@
             disputed=peers.Reception.DISPUTED in received,
         )
         if self._knows_whom_to_count(told):
-            self._leadership.note_told(told)
+            self._leadership.note_relay_round(told)
 
-    def _knows_whom_to_count(self, told: leadership.Told) -> bool:
+    def _knows_whom_to_count(self, told: leadership.RelayRound) -> bool:
         """Whether those that were told are all there are, as far as needed.
 
         One that has not read who the others are counts no majority, and one
@@ -187,16 +187,18 @@
         Returns:
             None if the word does not count, since a later leader is known.
         """
-        counts = self._leadership.hear(
+        counts = self._leadership.handle_heartbeat(
             relay.claim, log_lost=relay.log_lost, resigns=relay.resigns
         )
         if not counts:
             return None
-        self._beliefs.take_told(relay.batches, self._delay_s(echo))
+        self._beliefs.apply_relayed(relay.batches, self._delay_s(echo))
         is_behind = self._beliefs.is_behind(relay.batches)
         return peers.RelayReply(
             self._beliefs.offsets() if is_behind else (),
-            self._beliefs.news_beyond(relay.batches) if relay.asks else (),
+            self._beliefs.changes_for_lost_topics(relay.batches)
+            if relay.asks
+            else (),
             self._leadership.knows_claims,
             peers.Stamp(self._life, self._clock.monotonic_s()),
             self._news.digest,
@@ -243,7 +245,7 @@
             asks,
             self.resigns,
             self._beliefs.list_is_lost,
-            self._beliefs.news_since(known),
+            self._beliefs.changes_since(known),
         )
         return _Word(
             peers.encode_relay(relay),
@@ -262,7 +264,7 @@
             self._heard[peer] = _Heard(answer.reply.stamp, came_s)
         if answer.reception is peers.Reception.ACCEPTED:
             self._known[peer] = answer.reply.offsets or word.offsets
-            self._beliefs.take_found(answer.reply.batches)
+            self._beliefs.apply_from_follower(answer.reply.batches)
             self._news.compare(peer, answer.reply.poison_digest)
         return answer
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
@@ -23,7 +23,7 @@
         self,
         feed: feeds.Feed,
         decode: DecodeServer,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
@@ -48,7 +48,7 @@
     def take_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Takes in the whole list of backend servers."""
         before = self.listed
-        self._book.heard_before_s = self._feed.follower.heard_s
+        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         self.listed = {}
         for record in records:
             server = self._choose(self._decode(record), before.get(record.key))
@@ -76,7 +76,7 @@
 
     def take_changes(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Takes in changes of the list; most change nothing."""
-        self._book.heard_before_s = self._feed.follower.heard_s
+        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         newest: dict[str, logs.KeyedRecord] = {}
         # Also those that changed and changed back: others may have seen what
         # was in between.
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -16,7 +16,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import evacuations as evacuations_lib
 from bridgecross_entry import journal as journals
 from bridgecross_entry import model
@@ -125,7 +125,7 @@
         # When it was first seen to be leaving, or gone from the list.
         self.leaving_since_s: float | None = None
         # When the list was last known to say otherwise.
-        self.staying_until_s: float | None = None
+        self.last_known_staying_s: float | None = None
         # Whether it is gone from the list.
         self.unlisted = False
         # Whether its run has certainly ended.
@@ -233,9 +233,9 @@
         self._pause_s = self._settings.longest_pause_s
         self.paused_until_s = now_s + self._pause_s
         # Whoever answers there next has just started.
-        self.cool(now_s + self.warmup_s)
+        self.mark_cold(now_s + self.warmup_s)
 
-    def cool(self, until_s: float) -> None:
+    def mark_cold(self, until_s: float) -> None:
         """Takes it for cold until a time at least."""
         self.cold_until_s = max(self.cold_until_s, until_s)
 
@@ -257,7 +257,7 @@
         return cost_s
 
 
-class ServerBook:
+class ServerRegistry:
     """All backend servers that this instance knows."""
 
     def __init__(
@@ -269,11 +269,11 @@
     ) -> None:
         """Knows no server yet."""
         self.settings = settings
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         # Called with each run that has certainly ended.
         self.on_run_ended: Callable[[ids.ServerId], None] = lambda _: None
         # When the list was heard of before what is being taken in.
-        self.heard_before_s: float | None = None
+        self.previous_list_as_of_s: float | None = None
         # Which failure domains are evacuated.
         self.evacuations = evacuations_lib.Evacuations(
             evacuations_lib.EvacuationSettings(), bounds, journal, clock
@@ -398,7 +398,7 @@
             self._note_leaving(known, "it says that it is leaving")
         elif returned:
             known.leaving_since_s = None
-            known.staying_until_s = None
+            known.last_known_staying_s = None
             self._journal.decision("server_returned", server=listed.server_id)
         self.changed.notify()
 
@@ -473,7 +473,7 @@
         """Takes in for how long a server says that it is cold."""
         left_s = server.listed.warmup_left_ms / 1_000
         if left_s > 0:
-            server.cool(self._clock.monotonic_s() + left_s)
+            server.mark_cold(self._clock.monotonic_s() + left_s)
 
     def service_of(self, server: Server) -> model.Service | None:
         """Returns what holds for the servers of a server's service."""
@@ -524,12 +524,12 @@
             return True
         drain_s = self.bounds.drain_ms / 1_000
         until_s = since_s + drain_s * self.settings.drain_use_ratio
-        if server.staying_until_s is not None:
+        if server.last_known_staying_s is not None:
             age_s = drain_s * self.settings.drain_age_ratio
-            until_s = min(until_s, server.staying_until_s + age_s)
+            until_s = min(until_s, server.last_known_staying_s + age_s)
         return now_s < until_s
 
-    def may_use_any(self, server: Server, now_s: float) -> bool:
+    def may_use_without_key(self, server: Server, now_s: float) -> bool:
         """Whether requests that others could serve may be sent to a server."""
         domain = server.listed.failure_domain
         return self.may_use(server, now_s) and (
@@ -563,7 +563,7 @@
         for server in self._servers.values():
             if server.listed.failure_domain in ended:
                 # It may have turned cold shortly before.
-                server.cool(now_s + server.warmup_s)
+                server.mark_cold(now_s + server.warmup_s)
         if self.evacuations.domains != before:
             self.changed.notify()
 
@@ -612,9 +612,9 @@
             server.leaving_since_s = now_s
         self._set_warmup(server)
         self._note_warmup(server)
-        if self.heard_before_s is not None:
+        if self.previous_list_as_of_s is not None:
             # It was not there before, whatever its entry leaves out.
-            server.cool(now_s + server.warmup_s)
+            server.mark_cold(now_s + server.warmup_s)
         self._journal.decision(
             "server_joined",
             server=listed.server_id,
@@ -638,7 +638,7 @@
         now_s = self._clock.monotonic_s()
         if server.leaving_since_s is None or server.leaving_since_s > now_s:
             server.leaving_since_s = now_s
-            server.staying_until_s = self.heard_before_s
+            server.last_known_staying_s = self.previous_list_as_of_s
             self._journal.decision(
                 "server_leaving",
                 server=server.listed.server_id,
--- a/libs/bridgecross-entry/tests/cluster_state_support.py
+++ b/libs/bridgecross-entry/tests/cluster_state_support.py
@@ -69,7 +69,7 @@
     ) -> None:
         real = clock.SystemClock()
         journal = written or support.make_journal(real)
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.versions: list[int] = []
@@ -116,19 +116,19 @@
     def lose(self, other: Reader) -> None:
         """Speaks to one that the word does not reach."""
         known = self._known.get(other, self._beliefs.offsets())
-        self._beliefs.news_since(known)
+        self._beliefs.changes_since(known)
 
     def news(self, other: Reader) -> dict[str, follower.TopicBatch]:
         """Returns what the next word to another one says, by topic."""
         known = self._known[other]
-        return {b.topic: b for b in self._beliefs.news_since(known)}
+        return {b.topic: b for b in self._beliefs.changes_since(known)}
 
     def _speak(
         self, other: Reader, known: cluster_state.Offsets
     ) -> cluster_state.Offsets:
-        batches = self._beliefs.news_since(known)
+        batches = self._beliefs.changes_since(known)
         reached = self._beliefs.offsets()
-        other.beliefs.take_told(batches)
+        other.beliefs.apply_relayed(batches)
         behind = other.beliefs.is_behind(batches)
         self._known[other] = other.beliefs.offsets() if behind else reached
         return other.beliefs.offsets() if behind else ()
--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -134,17 +134,17 @@
     known = told.beliefs.offsets()
     _add(platform_log, "servers", "b", b"rapor leaving")
     await reader.read()
-    told.beliefs.take_told(reader.beliefs.news_since(known))
-    early_word = reader.beliefs.news_since(known)
+    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
+    early_word = reader.beliefs.changes_since(known)
     _add(platform_log, "servers", "b", b"")
     await reader.read()
-    told.beliefs.take_told(reader.beliefs.news_since(known))
+    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
     server = told.book.get(ids.ServerId("b"))
     assert server is not None
     since_s = server.leaving_since_s
     await reader.read()
-    told.beliefs.take_told(reader.beliefs.news_since(known))
-    told.beliefs.take_told(early_word)
+    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
+    told.beliefs.apply_relayed(early_word)
     assert server.unlisted
     assert server.leaving_since_s == since_s
 
@@ -200,8 +200,8 @@
         _add(platform_log, "servers", name, b"rapor")
         missed = reader.beliefs.offsets()
         await reader.read()
-    news = reader.beliefs.news_since(missed)
-    told.beliefs.take_told(news)
+    news = reader.beliefs.changes_since(missed)
+    told.beliefs.apply_relayed(news)
     assert told.beliefs.is_behind(news)
     assert not any(told.knows(name) for name in "bcdef")
     await told.read()
@@ -218,7 +218,7 @@
     cluster_state_support.Teller(reader).tell(told)
     follower_ = told.beliefs.key_follower
     assert follower_._is_relayed()
-    follower_.relayed_s -= follower_._settings.relay_fresh_s
+    follower_.last_relay_s -= follower_._settings.relay_fresh_s
     assert not follower_._is_relayed()
 
 
@@ -294,7 +294,7 @@
     teller.tell(told)
     gap = follower.TopicBatch("configuration", 9, 10, 10, (), 0.0, False)
     for _ in range(3):
-        told.beliefs.take_told((gap,))
+        told.beliefs.apply_relayed((gap,))
     lines = [e for e in _lines(reading_end) if e["instance"] == "told"]
     taken = [e for e in lines if e["event"] == "configuration_in_force"]
     left = [e for e in lines if e["event"] == "relay_left_aside"]
@@ -304,7 +304,7 @@
     ]
     assert [(e["known_to"], e["told_from"]) for e in left] == [(2, 9)]
     status = told.beliefs.take_topic_statuses()[1]
-    assert (status.next_offset, status.left_aside_count) == (2, 3)
+    assert (status.next_offset, status.dropped_batch_count) == (2, 3)
     assert taken[0]["known_s_ago"] is None
     # The line is rounded to milliseconds.
     assert 0 <= taken[1]["known_s_ago"] <= status.longest_age_s + 0.001
@@ -413,7 +413,7 @@
         await leader.read()
         teller.tell(told)
         # The time until the next word passes.
-        mine.relayed_s -= 0.7
+        mine.last_relay_s -= 0.7
         if not mine._is_relayed():
             await mine.catch_up()
     assert told.versions == [1, 2]
@@ -478,12 +478,16 @@
 async def test_a_word_that_was_held_up_is_as_old_as_it_is():
     _, (leader, told, _) = await _make_three()
     offsets = told.beliefs.offsets()
-    told.beliefs.take_told(leader.beliefs.news_since(offsets), delay_s=3.0)
+    told.beliefs.apply_relayed(
+        leader.beliefs.changes_since(offsets), delay_s=3.0
+    )
     assert told.beliefs.configuration_age_s < 1
     follower_ = told.beliefs._configurations.follower
-    follower_.heard_s -= 60
-    follower_.stop_waiting()
-    told.beliefs.take_told(leader.beliefs.news_since(offsets), delay_s=3.0)
+    follower_.as_of_s -= 60
+    follower_.stop_awaiting_relay()
+    told.beliefs.apply_relayed(
+        leader.beliefs.changes_since(offsets), delay_s=3.0
+    )
     assert 2.9 < told.beliefs.configuration_age_s < 4.0
     assert not follower_._is_relayed()
 
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -75,7 +75,7 @@
         real = clock.SystemClock()
         journal = support.make_journal(real)
         bounds = bounds or support.BOUNDS
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), bounds, journal, real
         )
         for name in ("a", "b"):
@@ -310,7 +310,7 @@
         tasks.start_soon(scene.ask)
         await anyio.sleep(0.05)
         assert not backends.sent
-        scene.table.settle(ids.ServiceName("rapor"), 2, 0)
+        scene.table.mark_settled(ids.ServiceName("rapor"), 2, 0)
     assert backends.sent == ["b"]
 
 
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def book(clock):
-    made = servers.ServerBook(
+    made = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(clock),
@@ -32,7 +32,7 @@
     free = {
         s.listed.name
         for s in book.of_service("rapor")
-        if book.may_use_any(s, clock.now_s)
+        if book.may_use_without_key(s, clock.now_s)
     }
     keyed = {
         s.listed.name
--- a/libs/bridgecross-entry/tests/test_feeds.py
+++ b/libs/bridgecross-entry/tests/test_feeds.py
@@ -137,13 +137,13 @@
         teller, other = self._pair()
         reader, receiver = self.readers[teller], self.readers[other]
         known = receiver.beliefs.offsets()
-        self.late.append((receiver, reader.beliefs.news_since(known)))
+        self.late.append((receiver, reader.beliefs.changes_since(known)))
 
     async def _deliver(self):
         if self.late:
             index = self._random.randrange(len(self.late))
             receiver, batches = self.late.pop(index)
-            receiver.beliefs.take_told(batches)
+            receiver.beliefs.apply_relayed(batches)
 
     async def _forget(self):
         self.shared.forget(self._random.choice((SERVERS, CONFIGURATION)))
--- a/libs/bridgecross-entry/tests/test_keymap.py
+++ b/libs/bridgecross-entry/tests/test_keymap.py
@@ -78,5 +78,5 @@
 
     assert settled(9)
     assert not settled(10)
-    table.settle(SERVICE, 2, 10)
+    table.mark_settled(SERVICE, 2, 10)
     assert settled(19)
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -93,7 +93,7 @@
 def _cool(scene):
     for name in NAMES:
         server = scene.book.get(ids.ServerId(name))
-        server.cool(server.joined_s + 60.0)
+        server.mark_cold(server.joined_s + 60.0)
 
 
 def _move(scene):
--- a/libs/bridgecross-entry/tests/test_leases.py
+++ b/libs/bridgecross-entry/tests/test_leases.py
@@ -37,7 +37,7 @@
 
 def _make_keeper(lease_servers, lead, time_source):
     journal = support.make_journal(time_source)
-    book = servers.ServerBook(
+    book = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, journal, time_source
     )
     book.put(support.make_server("a"))
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -149,7 +149,7 @@
         for member in self.members:
             await member.reader.read()
         # As whoever takes the lead does.
-        self.leader.reader.beliefs.begin_telling()
+        self.leader.reader.beliefs.start_relaying()
 
     def versions(self) -> list[int]:
         return [member.reader.versions[-1] for member in self.members]
@@ -239,13 +239,15 @@
     """Lets one hear a word that was under way for long; returns its age."""
     other = scene.others[0]
     follower = other.reader.beliefs._configurations.follower
-    follower.heard_s -= 60
+    follower.as_of_s -= 60
     relay = peers.Relay(
         scene.leader.lead.claim,
         False,
         False,
         False,
-        scene.leader.reader.beliefs.news_since(other.reader.beliefs.offsets()),
+        scene.leader.reader.beliefs.changes_since(
+            other.reader.beliefs.offsets()
+        ),
     )
     now_s = clock.SystemClock().monotonic_s()
     stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
@@ -272,7 +274,7 @@
     scene = Scene()
     await scene.read()
     follower = scene.others[0].reader.beliefs._configurations.follower
-    follower.heard_s -= 60
+    follower.as_of_s -= 60
     await scene.leader.tell()
     assert follower.age_s > 60
     await scene.leader.tell()
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -125,7 +125,9 @@
 
 def _take_runs_for_ended():
     """Every run of a server that is to give something back has ended."""
-    return mock.patch.object(servers.ServerBook, "has_ended", return_value=True)
+    return mock.patch.object(
+        servers.ServerRegistry, "has_ended", return_value=True
+    )
 
 
 def _wait_for_no_earlier_leader():
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -207,7 +207,7 @@
 
 def _take_all_for_warm():
     return mock.patch.object(
-        servers.ServerBook, "cold_rate_per_s", return_value=None
+        servers.ServerRegistry, "cold_rate_per_s", return_value=None
     )
 
 
@@ -221,7 +221,7 @@
 
 
 def _let_nothing_turn_cold():
-    return mock.patch.object(servers.Server, "cool", return_value=None)
+    return mock.patch.object(servers.Server, "mark_cold", return_value=None)
 
 
 def _give_all_that_is_asked_for():
