--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -142,12 +142,12 @@
         end_s = begun_s + grace_s - self._settings.drain_margin_s
         self._parts.dispatcher.ends_s = end_s
         self._parts.issuer.is_stopping = True
-        await self._parts.duties.give_up()
+        await self._parts.duties.hand_over_lead()
         accept_until_s = begun_s + grace_s * self._settings.drain_accept_ratio
         await anyio.sleep(accept_until_s - self._clock.monotonic_s())
         self._caller_listener.stop()
         self._caller_listener.close_idle()
-        await draining.wait_for_rest(
+        await draining.wait_until_idle(
             lambda: self._edge.open_count,
             lambda: self._parts.duties.coordinated_count,
             self._caller_listener.close_idle,
@@ -194,7 +194,7 @@
         configuration = self._parts.beliefs.configuration
         version = configuration.version if configuration else math.nan
         beliefs.set({"what": "configuration_version"}, version)
-        heard_s = self._parts.beliefs.list_heard_s
+        heard_s = self._parts.beliefs.server_list_as_of_s
         age_s = math.nan if heard_s is None else now_s - heard_s
         beliefs.set({"what": "server_list_age_s"}, age_s)
         for status in self._parts.beliefs.take_topic_statuses():
@@ -233,7 +233,7 @@
             "offset": status.next_offset,
             "age_s": status.age_s,
             "longest_age_s": status.longest_age_s,
-            "left_aside": status.left_aside_count,
+            "left_aside": status.dropped_batch_count,
         }
         for what, figure in figures.items():
             labels = {"what": what, "topic": status.topic}
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
@@ -6,8 +6,8 @@
 from bridgecross_core import clock as clocks
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
+from bridgecross_entry import invalid_records
 from bridgecross_entry import journal as journals
-from bridgecross_entry import left_aside
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
 from bridgecross_entry import servers as servers_lib
@@ -23,7 +23,7 @@
         self,
         feed: feeds.Feed,
         decode: DecodeServer,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
@@ -43,12 +43,12 @@
         self._book = book
         self._clock = clock
         # Entries that make no sense.
-        self.left_aside = left_aside.LeftAside(feed.topic, journal)
+        self.left_aside = invalid_records.InvalidRecords(feed.topic, journal)
 
     def take_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Takes in the whole list of backend servers."""
         before = self.listed
-        self._book.heard_before_s = self._feed.follower.heard_s
+        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         self.listed = {}
         for record in records:
             server = self._choose(self._decode(record), before.get(record.key))
@@ -76,7 +76,7 @@
 
     def take_changes(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Takes in changes of the list; most change nothing."""
-        self._book.heard_before_s = self._feed.follower.heard_s
+        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         newest: dict[str, logs.KeyedRecord] = {}
         # Also those that changed and changed back: others may have seen what
         # was in between.
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -340,7 +340,7 @@
     moving = [r for r in newest.ranges if r.prior_owner]
     assert moving
     for r in moving:
-        second.table.settle(fakes.SERVICE, r.token, r.first_key)
+        second.table.mark_settled(fakes.SERVICE, r.token, r.first_key)
     lease_servers.orders.clear()
     async with _running(second):
         await fakes.until(lambda: lease_servers.orders)
--- a/libs/bridgecross-entry/tests/test_crash_watch.py
+++ b/libs/bridgecross-entry/tests/test_crash_watch.py
@@ -42,7 +42,7 @@
         self.clock = real
         journal = support.make_journal(real)
         self.backends = Backends(*refusing)
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.server = support.make_server("a")
--- a/libs/bridgecross-entry/tests/test_leadership.py
+++ b/libs/bridgecross-entry/tests/test_leadership.py
@@ -27,7 +27,7 @@
 def _told(term, peers, *, accepted=0, ended=0, disputed=False, sent_s=None):
     if sent_s is None:
         sent_s = clock.SystemClock().monotonic_s()
-    return leadership.Told(term, sent_s, peers, accepted, ended, disputed)
+    return leadership.RelayRound(term, sent_s, peers, accepted, ended, disputed)
 
 
 class Member:
@@ -66,9 +66,11 @@
     def tell(self) -> None:
         claim = self.leadership.claim
         for other in self.heard_by:
-            other.leadership.hear(claim)
+            other.leadership.handle_heartbeat(claim)
         count = len(self.heard_by)
-        self.leadership.note_told(_told(claim.term, count, accepted=count))
+        self.leadership.note_relay_round(
+            _told(claim.term, count, accepted=count)
+        )
 
 
 @contextlib.asynccontextmanager
@@ -131,7 +133,7 @@
         claim = first.leadership.claim
         first.heard_by = []
         for other in first.others:
-            other.leadership.hear(claim, resigns=True)
+            other.leadership.handle_heartbeat(claim, resigns=True)
         await fakes.until(lambda: _leaders(first.others), 0.12)
 
 
@@ -163,8 +165,10 @@
 
 async def test_the_word_of_an_earlier_term_does_not_count():
     member = Member(fakes.MemoryLog(), 1)
-    assert member.leadership.hear(leadership.Claim(5, "entry-2"))
-    assert not member.leadership.hear(leadership.Claim(4, "entry-3"))
+    assert member.leadership.handle_heartbeat(leadership.Claim(5, "entry-2"))
+    assert not member.leadership.handle_heartbeat(
+        leadership.Claim(4, "entry-3")
+    )
 
 
 async def test_a_leader_that_has_been_followed_by_another_finds_out():
@@ -198,10 +202,12 @@
         leader.tell = lambda: None
         for _ in range(25):
             for other in heard:
-                other.leadership.hear(leader.leadership.claim, log_lost=True)
+                other.leadership.handle_heartbeat(
+                    leader.leadership.claim, log_lost=True
+                )
             claim = leader.leadership.claim
             told = _told(claim.term, 3, accepted=3)
-            leader.leadership.note_told(told)
+            leader.leadership.note_relay_round(told)
             await anyio.sleep(0.04)
         # A turn is 0.1 s here, and silence of 0.15 s goes before the first.
         assert 2 <= len(calls) <= 9
@@ -218,7 +224,9 @@
         with anyio.fail_after(3):
             while not _leaders(others):
                 for other in heard:
-                    other.leadership.hear(first.leadership.claim, log_lost=True)
+                    other.leadership.handle_heartbeat(
+                        first.leadership.claim, log_lost=True
+                    )
                 await anyio.sleep(0.04)
         assert _leaders(others)[0].leadership.term > 0
 
@@ -268,9 +276,13 @@
     # As after a freeze: the clock went on, and nobody confirmed.
     manual.now_s += 0.2
     assert not leading.may_order
-    leading.note_told(_told(leading.term, 4, accepted=1, sent_s=manual.now_s))
+    leading.note_relay_round(
+        _told(leading.term, 4, accepted=1, sent_s=manual.now_s)
+    )
     assert not leading.may_order
-    leading.note_told(_told(leading.term, 4, accepted=2, sent_s=manual.now_s))
+    leading.note_relay_round(
+        _told(leading.term, 4, accepted=2, sent_s=manual.now_s)
+    )
     assert leading.may_order
 
 
@@ -279,7 +291,7 @@
     leading = await _lead_alone(manual, fakes.MemoryLog())
     manual.now_s += 5
     told = _told(leading.term, 2, accepted=2, sent_s=manual.now_s - 1.6)
-    leading.note_told(told)
+    leading.note_relay_round(told)
     assert not leading.may_order
 
 
@@ -288,11 +300,11 @@
     platform_log = fakes.MemoryLog()
     leading = await _lead_alone(manual, platform_log)
     told = _told(leading.term, 4, accepted=3, disputed=True)
-    leading.note_told(told)
+    leading.note_relay_round(told)
     assert not leading.may_order
     await leading.confirm()
     assert leading.may_order
-    leading.note_told(told)
+    leading.note_relay_round(told)
     rival = leadership.Claim(leading.term + 1, "rival")
     record = log.KeyedRecord("leader", leadership._CLAIMS.encode(rival))
     platform_log.records[leadership.TOPIC].append(record)
@@ -305,9 +317,9 @@
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
     assert leading.known_s == float("inf")
-    leading.note_told(_told(leading.term, 2, accepted=0))
+    leading.note_relay_round(_told(leading.term, 2, accepted=0))
     assert leading.known_s == float("inf")
-    leading.note_told(_told(leading.term, 2, accepted=1))
+    leading.note_relay_round(_told(leading.term, 2, accepted=1))
     assert leading.known_s == manual.now_s
 
 
@@ -333,9 +345,9 @@
 async def test_all_know_of_the_lead_once_none_is_left_unheard():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
-    leading.note_told(_told(leading.term, 4, accepted=3))
+    leading.note_relay_round(_told(leading.term, 4, accepted=3))
     assert leading.known_to_all_s == float("inf")
-    leading.note_told(_told(leading.term, 4, accepted=2, ended=2))
+    leading.note_relay_round(_told(leading.term, 4, accepted=2, ended=2))
     assert leading.known_to_all_s == manual.now_s
 
 
@@ -352,7 +364,7 @@
 
 async def test_a_claim_is_above_all_that_are_known_though_the_log_lost_them():
     member = Member(fakes.MemoryLog(), 1)
-    member.leadership.hear(leadership.Claim(7, "entry-9"))
+    member.leadership.handle_heartbeat(leadership.Claim(7, "entry-9"))
     await member.leadership._try_claim()
     assert member.leadership.claim.term == 8
 
@@ -367,7 +379,9 @@
 def test_one_that_reads_what_the_leader_cannot_claims_soon(reads_log, turn_s):
     member = Member(fakes.MemoryLog(), 0)
     member.leadership._reads_log = lambda: reads_log
-    member.leadership.hear(leadership.Claim(7, "entry-9"), log_lost=True)
+    member.leadership.handle_heartbeat(
+        leadership.Claim(7, "entry-9"), log_lost=True
+    )
     member.leadership._rank = lambda: 60
     assert member.leadership._turn_s() == pytest.approx(turn_s)
 
@@ -376,7 +390,7 @@
     platform_log = fakes.MemoryLog()
     member = Member(platform_log, 1)
     assert not member.leadership.knows_claims
-    member.leadership.hear(leadership.Claim(0, "entry-9"))
+    member.leadership.handle_heartbeat(leadership.Claim(0, "entry-9"))
     assert not member.leadership.knows_claims
     await member.leadership._look_up_first()
     assert member.leadership.knows_claims
