--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -5,8 +5,8 @@
 
 from benchmarks import rows
 from bridgecross_core import hashing
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_daemon import control
 from bridgecross_log import records as log_records
 from bridgecross_log import service as log_service
@@ -95,7 +95,7 @@
 def _store(offset: int, kind: str, body: bytes) -> log_service.StoredRecord:
     """Returns a record as the log keeps it."""
     envelope = log_records.Envelope(
-        f"r{offset}", kind, "entry-1", stamps.Stamp(0, 0), body
+        f"r{offset}", kind, "entry-1", hybrid_clock.Timestamp(0, 0), body
     )
     return log_service.StoredRecord(
         ids.Offset(offset), log_records.encode_envelope(envelope)
@@ -109,7 +109,7 @@
 
 def _new_state() -> control.ControlState:
     """Returns an empty state."""
-    clock = stamps.HybridClock(_StillClock())
+    clock = hybrid_clock.HybridClock(_StillClock())
     return control.ControlState(rings.Ring(rings.RingSettings("b"), clock))
 
 
--- a/benchmarks/layer_server.py
+++ b/benchmarks/layer_server.py
@@ -7,8 +7,8 @@
 import anyio
 
 from bridgecross_core import clock as clocks
+from bridgecross_core import hybrid_clock
 from bridgecross_core import outcomes
-from bridgecross_core import stamps
 from bridgecross_daemon import _caller_api
 from bridgecross_daemon import _metrics
 from bridgecross_daemon import peer_server
@@ -82,7 +82,7 @@
     """Serves until the process is killed."""
     address = f"127.0.0.1:{port}"
     if kind == "grpc":
-        clock = stamps.HybridClock(clocks.SystemClock())
+        clock = hybrid_clock.HybridClock(clocks.SystemClock())
         peer: Any = _FixedPeer()
         await peer_server.PeerServer(address, peer, clock).start()
         await anyio.sleep_forever()
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -17,7 +17,7 @@
 
 from benchmarks import rows
 from bridgecross_core import clock as clocks
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_daemon import peer_client
 from bridgecross_daemon import peering
 from bridgecross_standins import house_tools
@@ -108,7 +108,7 @@
     port = processes.find_free_port()
     with _serve("grpc", port):
         client = peer_client.PeerClient(
-            stamps.HybridClock(clocks.SystemClock())
+            hybrid_clock.HybridClock(clocks.SystemClock())
         )
 
         async def call_peer() -> object:
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -9,8 +9,8 @@
 
 from benchmarks import rows
 from bridgecross_core import clock as clocks
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_daemon import _platform
 from bridgecross_daemon import peer_client
 from bridgecross_daemon import peer_server
@@ -183,7 +183,7 @@
     """Measures heartbeats by the number of fronted servers."""
     port = processes.find_free_port()
     relay = _Relay(port)
-    clock = stamps.HybridClock(clocks.SystemClock())
+    clock = hybrid_clock.HybridClock(clocks.SystemClock())
     receiver: Any = _Receiver()
     server = peer_server.PeerServer(f"127.0.0.1:{port}", receiver, clock)
     await server.start()
--- a/libs/bridgecross-cli/src/bridgecross_cli/reach.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/reach.py
@@ -13,8 +13,8 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import codec
 from bridgecross_core import findings
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_daemon import control
 from bridgecross_daemon import instance
 from bridgecross_daemon import peer_client
@@ -103,7 +103,7 @@
     request: Q,
 ) -> list[Answer]:
     """Calls a method of several instances at once."""
-    clock = stamps.HybridClock(clocks.SystemClock())
+    clock = hybrid_clock.HybridClock(clocks.SystemClock())
     client = peer_client.PeerClient(clock)
     answers: list[Answer] = []
 
@@ -168,7 +168,7 @@
         ReachError: The log could not be read in time.
     """
     clock = clocks.SystemClock()
-    hybrid = stamps.HybridClock(clock)
+    hybrid = hybrid_clock.HybridClock(clock)
     stream = instance.name_control_stream(connection.house, place)
     log = http_service.HttpLogService(
         http_service.HttpLogSettings(connection.log_url)
--- a/libs/bridgecross-core/src/bridgecross_core/__init__.py
+++ b/libs/bridgecross-core/src/bridgecross_core/__init__.py
@@ -10,7 +10,7 @@
 * ``outcomes``: what became of a request.
 * ``notifier``: wakes the tasks that wait for a change.
 * ``signals``: turns the signals to stop into a call.
-* ``stamps``: a clock that orders events over all processes.
+* ``hybrid_clock``: orders the events of all processes causally.
 * ``timeouts``: gives up a wait only after what has arrived was read.
 """
 
@@ -19,10 +19,10 @@
     "codec",
     "findings",
     "hashing",
+    "hybrid_clock",
     "ids",
     "notifier",
     "outcomes",
     "signals",
-    "stamps",
     "timeouts",
 ]
--- a/libs/bridgecross-core/tests/test_stamps.py
+++ b/libs/bridgecross-core/tests/test_hybrid_clock.py
@@ -1,4 +1,4 @@
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 
 
 class _SetClock:
@@ -13,8 +13,8 @@
 
 
 def test_an_answer_is_later_than_its_question_despite_a_slow_clock():
-    fast = stamps.HybridClock(_SetClock(100.0))
-    slow = stamps.HybridClock(_SetClock(50.0))
+    fast = hybrid_clock.HybridClock(_SetClock(100.0))
+    slow = hybrid_clock.HybridClock(_SetClock(50.0))
     question = fast.tick()
     received = slow.observe(question)
     answer = slow.tick()
@@ -23,7 +23,7 @@
 
 def test_a_clock_that_is_set_back_does_not_turn_time_back():
     wall = _SetClock(100.0)
-    clock = stamps.HybridClock(wall)
+    clock = hybrid_clock.HybridClock(wall)
     before = clock.tick()
     wall.now_s = 10.0
     assert clock.tick() > before
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -10,9 +10,9 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_core import stamps
 from bridgecross_daemon import peering
 from bridgecross_daemon import ports
 from bridgecross_ownership import cell as cells
@@ -44,7 +44,7 @@
 class PeerClient:
     """Calls instances by address, with one channel each."""
 
-    def __init__(self, clock: stamps.HybridClock) -> None:
+    def __init__(self, clock: hybrid_clock.HybridClock) -> None:
         """Opens no channel yet."""
         self._clock = clock
         self._channels: dict[str, grpc.aio.Channel] = {}
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -10,7 +10,7 @@
 import grpc.aio
 
 from bridgecross_core import codec
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_daemon import peering
 from bridgecross_ownership import releases
 from bridgecross_request import poison
@@ -81,7 +81,10 @@
     """The gRPC server of an instance."""
 
     def __init__(
-        self, address: str, service: PeerService, clock: stamps.HybridClock
+        self,
+        address: str,
+        service: PeerService,
+        clock: hybrid_clock.HybridClock,
     ) -> None:
         """Binds the address.
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
@@ -9,9 +9,9 @@
 from typing import TypeVar
 
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_core import stamps
 from bridgecross_log import service as log_service
 from bridgecross_log import snapshot as snapshots
 from bridgecross_ownership import releases
@@ -176,7 +176,7 @@
 class _Stamped(NamedTuple):
     """A message with the stamp of its sending."""
 
-    stamp: stamps.Stamp
+    stamp: hybrid_clock.Timestamp
     body: bytes
 
 
@@ -193,19 +193,21 @@
         self._requests = codec.Codec(request)
         self._replies = codec.Codec(reply)
 
-    def encode_request(self, clock: stamps.HybridClock, value: Q) -> bytes:
+    def encode_request(
+        self, clock: hybrid_clock.HybridClock, value: Q
+    ) -> bytes:
         """Returns a request as bytes, stamped."""
         return _pack(clock, self._requests.encode(value))
 
-    def decode_request(self, clock: stamps.HybridClock, data: bytes) -> Q:
+    def decode_request(self, clock: hybrid_clock.HybridClock, data: bytes) -> Q:
         """Returns a request and takes its stamp in."""
         return self._requests.decode(_unpack(clock, data))
 
-    def encode_reply(self, clock: stamps.HybridClock, value: A) -> bytes:
+    def encode_reply(self, clock: hybrid_clock.HybridClock, value: A) -> bytes:
         """Returns a reply as bytes, stamped."""
         return _pack(clock, self._replies.encode(value))
 
-    def decode_reply(self, clock: stamps.HybridClock, data: bytes) -> A:
+    def decode_reply(self, clock: hybrid_clock.HybridClock, data: bytes) -> A:
         """Returns a reply and takes its stamp in."""
         return self._replies.decode(_unpack(clock, data))
 
@@ -279,12 +281,12 @@
         super().__init__(reason)
 
 
-def _pack(clock: stamps.HybridClock, body: bytes) -> bytes:
+def _pack(clock: hybrid_clock.HybridClock, body: bytes) -> bytes:
     """Returns a body with the stamp of this moment."""
     return _STAMPED.encode(_Stamped(clock.tick(), body))
 
 
-def _unpack(clock: stamps.HybridClock, data: bytes) -> bytes:
+def _unpack(clock: hybrid_clock.HybridClock, data: bytes) -> bytes:
     """Returns a body and takes its stamp in."""
     stamped = _STAMPED.decode(data)
     clock.observe(stamped.stamp)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
@@ -10,7 +10,7 @@
 from typing import TypeVar
 
 from bridgecross_core import clock as clocks
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_daemon import peering
 from bridgecross_log import service as log_service
 from bridgecross_ownership import leases
@@ -72,7 +72,7 @@
     """
 
     clock: clocks.Clock
-    stamps: stamps.HybridClock
+    stamps: hybrid_clock.HybridClock
     log: log_service.LogService
     listing: ListSource
     peers: PeerCaller
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
@@ -7,7 +7,7 @@
 import hypercorn.config
 
 from bridgecross_core import clock as clocks
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_daemon import _admin_api
 from bridgecross_daemon import _caller_api
 from bridgecross_daemon import _metrics
@@ -31,7 +31,7 @@
         """Opens nothing yet."""
         self._settings = settings
         self._clock = clocks.SystemClock()
-        self._stamps = stamps.HybridClock(self._clock)
+        self._stamps = hybrid_clock.HybridClock(self._clock)
         self._log = http_service.HttpLogService(
             http_service.HttpLogSettings(settings.log_url)
         )
--- a/libs/bridgecross-daemon/tests/test_control.py
+++ b/libs/bridgecross-daemon/tests/test_control.py
@@ -2,8 +2,8 @@
 
 from bridgecross_core import clock
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_daemon import control
 from bridgecross_log import records
 from bridgecross_log import service
@@ -19,13 +19,13 @@
 
 
 def _state() -> control.ControlState:
-    stamped = stamps.HybridClock(clock.SystemClock())
+    stamped = hybrid_clock.HybridClock(clock.SystemClock())
     return control.ControlState(ring.Ring(ring.RingSettings("t"), stamped))
 
 
 def _store(offset: int, kind: str, body: bytes) -> service.StoredRecord:
     envelope = records.Envelope(
-        f"r{offset}", kind, "w", stamps.Stamp(0, 0), body
+        f"r{offset}", kind, "w", hybrid_clock.Timestamp(0, 0), body
     )
     return service.StoredRecord(
         ids.Offset(offset), records.encode_envelope(envelope)
--- a/libs/bridgecross-daemon/tests/test_news.py
+++ b/libs/bridgecross-daemon/tests/test_news.py
@@ -6,8 +6,8 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_daemon import _news
 from bridgecross_daemon import _platform
 from bridgecross_daemon import control
@@ -59,7 +59,7 @@
         f"r{offset}",
         versions.CHANGE_KIND,
         "w",
-        stamps.Stamp(0, 0),
+        hybrid_clock.Timestamp(0, 0),
         versions.encode_change(change),
     )
     return log_service.StoredRecord(
@@ -72,7 +72,7 @@
 ) -> control.ControlState:
     """Starts an instance that has read some records, and returns its state."""
     clock = clocks.SystemClock()
-    hybrid = stamps.HybridClock(clock)
+    hybrid = hybrid_clock.HybridClock(clock)
     state = control.ControlState(rings.Ring(rings.RingSettings(name), hybrid))
     for offset in range(read):
         state.apply(_publish(offset))
--- a/libs/bridgecross-log/src/bridgecross_log/appender.py
+++ b/libs/bridgecross-log/src/bridgecross_log/appender.py
@@ -9,8 +9,8 @@
 
 import anyio
 
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import records
 from bridgecross_log import service
 
@@ -83,7 +83,7 @@
         self,
         settings: AppenderSettings,
         log: service.LogService,
-        clock: stamps.HybridClock,
+        clock: hybrid_clock.HybridClock,
     ) -> None:
         """Appends nothing yet."""
         self._settings = settings
--- a/libs/bridgecross-log/src/bridgecross_log/records.py
+++ b/libs/bridgecross-log/src/bridgecross_log/records.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 
 _RECORD_ID_BYTES = 9
 
@@ -21,7 +21,7 @@
     record_id: str
     kind: str
     writer: str
-    stamp: stamps.Stamp
+    stamp: hybrid_clock.Timestamp
     body: bytes
 
 
--- a/libs/bridgecross-log/tests/test_appender.py
+++ b/libs/bridgecross-log/tests/test_appender.py
@@ -3,8 +3,8 @@
 import pytest
 
 from bridgecross_core import clock
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import appender
 from bridgecross_log import records
 from bridgecross_log import service
@@ -57,7 +57,7 @@
     log = _FakeLog(error, keeps=keeps)
     settings = appender.AppenderSettings("s", "writer", fate_timeout_ms=30)
     writer = appender.Appender(
-        settings, log, stamps.HybridClock(clock.SystemClock())
+        settings, log, hybrid_clock.HybridClock(clock.SystemClock())
     )
     outcomes = []
 
--- a/libs/bridgecross-ownership/tests/test_cell.py
+++ b/libs/bridgecross-ownership/tests/test_cell.py
@@ -1,8 +1,8 @@
 import hypothesis
 from hypothesis import strategies as st
 
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import appender
 from bridgecross_log import records as log_records
 from bridgecross_ownership import cell as cells
@@ -63,7 +63,7 @@
     else:
         kind, body = records.ASSIGNMENT_KIND, records.ASSIGNMENTS.encode(value)
     envelope = log_records.Envelope(
-        f"r{offset}", kind, "w", stamps.Stamp(0, 0), body
+        f"r{offset}", kind, "w", hybrid_clock.Timestamp(0, 0), body
     )
     return log_records.LogRecord(ids.Offset(offset), envelope)
 
--- a/libs/bridgecross-ownership/tests/test_coordinator.py
+++ b/libs/bridgecross-ownership/tests/test_coordinator.py
@@ -5,8 +5,8 @@
 import pytest
 
 from bridgecross_core import clock as clocks
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import appender as appenders
 from bridgecross_log import records as log_records
 from bridgecross_log import service as log_service
@@ -147,7 +147,7 @@
     peers: _Peers | None = None,
 ) -> coordinators.Coordinator:
     clock = clocks.SystemClock()
-    hybrid = stamps.HybridClock(clock)
+    hybrid = hybrid_clock.HybridClock(clock)
     log = _CellLog(cell)
     log.appender = appenders.Appender(
         appenders.AppenderSettings("s", ME), log, hybrid
@@ -213,7 +213,7 @@
         f"r{offset}",
         records.CLAIM_KIND,
         instance,
-        stamps.Stamp(0, 0),
+        hybrid_clock.Timestamp(0, 0),
         records.CLAIMS.encode(claim),
     )
     cell.apply(log_records.LogRecord(offset, envelope))
--- a/libs/bridgecross-ownership/tests/test_fronts.py
+++ b/libs/bridgecross-ownership/tests/test_fronts.py
@@ -5,8 +5,8 @@
 import pytest
 
 from bridgecross_core import clock as clocks
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import records as log_records
 from bridgecross_ownership import authority as authorities
 from bridgecross_ownership import cell as cells
@@ -109,7 +109,7 @@
         self.append_front(ids.ServerId("rapor-2"), OTHER)
         self.append_move("rapor-2")
         clock = clocks.SystemClock()
-        hybrid = stamps.HybridClock(clock)
+        hybrid = hybrid_clock.HybridClock(clock)
         self.others = _Others()
         self.fronts = front_sets.Fronts(
             settings,
@@ -167,7 +167,7 @@
     def _append(self, kind: str, body: bytes) -> None:
         offset = ids.Offset(self.cell.head + 1)
         envelope = log_records.Envelope(
-            f"r{offset}", kind, "w", stamps.Stamp(0, 0), body
+            f"r{offset}", kind, "w", hybrid_clock.Timestamp(0, 0), body
         )
         self.cell.apply(log_records.LogRecord(offset, envelope))
         assert self.cell.head == offset
--- a/libs/bridgecross-request/tests/test_intents.py
+++ b/libs/bridgecross-request/tests/test_intents.py
@@ -1,5 +1,5 @@
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import appender
 from bridgecross_log import records
 from bridgecross_log import service
@@ -27,7 +27,7 @@
 
 def _apply(book, offset: int, kind: str, body: bytes) -> None:
     envelope = records.Envelope(
-        f"r{offset}", kind, "entry-1", stamps.Stamp(0, 0), body
+        f"r{offset}", kind, "entry-1", hybrid_clock.Timestamp(0, 0), body
     )
     data = records.encode_envelope(envelope)
     book.apply(service.StoredRecord(ids.Offset(offset), data))
--- a/libs/bridgecross-request/tests/test_routing.py
+++ b/libs/bridgecross-request/tests/test_routing.py
@@ -6,10 +6,10 @@
 import pytest
 
 from bridgecross_core import clock
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
 from bridgecross_core import notifier
 from bridgecross_core import outcomes
-from bridgecross_core import stamps
 from bridgecross_ownership import cell as cells
 from bridgecross_request import requests
 from bridgecross_request import retries
@@ -74,7 +74,9 @@
         runner=script,
         forwarder=script,
         clock=system,
-        ring=ring.Ring(ring.RingSettings("t"), stamps.HybridClock(system)),
+        ring=ring.Ring(
+            ring.RingSettings("t"), hybrid_clock.HybridClock(system)
+        ),
         randomness=random.Random(1),
     )
 
--- a/libs/bridgecross-settings/tests/test_versions.py
+++ b/libs/bridgecross-settings/tests/test_versions.py
@@ -1,8 +1,8 @@
 import pathlib
 
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_core import stamps
 from bridgecross_log import appender
 from bridgecross_log import records
 from bridgecross_settings import check
@@ -28,7 +28,7 @@
         f"r{offset}",
         versions.CHANGE_KIND,
         "w",
-        stamps.Stamp(0, 0),
+        hybrid_clock.Timestamp(0, 0),
         versions.encode_change(change),
     )
     return state.apply(records.LogRecord(ids.Offset(offset), envelope))
--- a/libs/bridgecross-timeline/src/bridgecross_timeline/events.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/events.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 
 
 @dataclasses.dataclass(frozen=True)
@@ -170,7 +170,7 @@
 class Event(NamedTuple):
     """An event of one process at one point of the time line."""
 
-    stamp: stamps.Stamp
+    stamp: hybrid_clock.Timestamp
     process: str
     detail: Detail
 
@@ -183,7 +183,7 @@
 class WireEvent(NamedTuple):
     """An event as it travels between processes."""
 
-    stamp: stamps.Stamp
+    stamp: hybrid_clock.Timestamp
     process: str
     kind: str
     detail: dict[str, Any]
--- a/libs/bridgecross-timeline/src/bridgecross_timeline/ring.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/ring.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_timeline import events
 
 
@@ -21,7 +21,7 @@
     """Remembers the newest events of this process."""
 
     def __init__(
-        self, settings: RingSettings, clock: stamps.HybridClock
+        self, settings: RingSettings, clock: hybrid_clock.HybridClock
     ) -> None:
         """Remembers nothing yet."""
         self._process = settings.process
--- a/libs/bridgecross-timeline/tests/test_timeline.py
+++ b/libs/bridgecross-timeline/tests/test_timeline.py
@@ -5,7 +5,7 @@
 
 from bridgecross_core import clock
 from bridgecross_core import codec
-from bridgecross_core import stamps
+from bridgecross_core import hybrid_clock
 from bridgecross_timeline import events
 from bridgecross_timeline import render
 from bridgecross_timeline import ring
@@ -23,7 +23,9 @@
 
 @pytest.mark.parametrize("detail_type", DETAILS)
 def test_every_event_survives_the_wire(detail_type):
-    event = events.Event(stamps.Stamp(5, 1), "entry-1", _make(detail_type))
+    event = events.Event(
+        hybrid_clock.Timestamp(5, 1), "entry-1", _make(detail_type)
+    )
     wires = codec.Codec(events.WireEvent)
     sent = wires.decode(wires.encode(events.to_wire(event)))
     assert events.from_wire(sent) == event
@@ -32,7 +34,9 @@
 
 def test_a_ring_forgets_the_oldest():
     settings = ring.RingSettings("entry-1", capacity=3)
-    remembered = ring.Ring(settings, stamps.HybridClock(clock.SystemClock()))
+    remembered = ring.Ring(
+        settings, hybrid_clock.HybridClock(clock.SystemClock())
+    )
     for number in range(5):
         remembered.add(events.DrainBegan(number))
     kept = [event.detail for event in remembered.list_events()]
@@ -41,7 +45,11 @@
 
 def test_lanes_merge_in_causal_order_and_render():
     lanes = [
-        [events.Event(stamps.Stamp(t, 0), name, _make(DETAILS[t % 3]))]
+        [
+            events.Event(
+                hybrid_clock.Timestamp(t, 0), name, _make(DETAILS[t % 3])
+            )
+        ]
         for t, name in ((3, "entry-1"), (1, "entry-2"), (2, "<entry-3>"))
     ]
     timeline = render.merge(lanes)
--- a/tests/matrix/house.py
+++ b/tests/matrix/house.py
@@ -10,9 +10,9 @@
 import simpy
 
 from bridgecross_core import codec
+from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_core import stamps
 from bridgecross_daemon import control
 from bridgecross_daemon import instance
 from bridgecross_daemon import ports
@@ -158,7 +158,7 @@
         connection = fakes.ServerConnection(self.servers, link, clock)
         outside = ports.InstancePorts(
             clock=clock,
-            stamps=stamps.HybridClock(clock),
+            stamps=hybrid_clock.HybridClock(clock),
             log=self.log.connect(link),
             listing=self.listing.connect(link),
             peers=self.peers.connect(link),
@@ -185,7 +185,7 @@
             log_records.new_record_id(),
             versions.CHANGE_KIND,
             "tool",
-            stamps.Stamp(0, 0),
+            hybrid_clock.Timestamp(0, 0),
             versions.encode_change(change),
         )
         try:
@@ -201,7 +201,7 @@
 
     def fold(self) -> control.ControlState:
         """Returns what the whole log folds to."""
-        clock = stamps.HybridClock(fakes.VirtualClock(self.environment))
+        clock = hybrid_clock.HybridClock(fakes.VirtualClock(self.environment))
         state = control.ControlState(
             rings.Ring(rings.RingSettings("checker"), clock)
         )
