--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -12,10 +12,10 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_entry import attempts
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
+from bridgecross_entry import cluster_tasks
 from bridgecross_entry import crash_watch
 from bridgecross_entry import dispatch
-from bridgecross_entry import duties
 from bridgecross_entry import edge
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -31,7 +31,7 @@
 from bridgecross_request import poison
 
 
-class Adapter(beliefs.Decoder, Protocol):
+class Adapter(cluster_state.Decoder, Protocol):
     """What a platform provides; it decides nothing."""
 
     @property
@@ -84,7 +84,7 @@
         )
         self.backend_client = adapter.make_backend_client()
         self.lease_client = adapter.make_lease_client()
-        self.book = servers_lib.ServerBook(
+        self.book = servers_lib.ServerRegistry(
             servers_lib.ServerSettings(), self.settings.bounds, journal, clock
         )
         self.backend_client.on_notice = self.book.notices.hear
@@ -135,8 +135,10 @@
             self.watch,
         )
         is_first = self.settings.is_first_start
-        self.beliefs = beliefs.Beliefs(
-            beliefs.FIRST_START if is_first else beliefs.BeliefSettings(),
+        self.beliefs = cluster_state.ClusterState(
+            cluster_state.FIRST_START_SETTINGS
+            if is_first
+            else cluster_state.ClusterStateSettings(),
             self.log,
             adapter,
             self.book,
@@ -145,19 +147,19 @@
             journal,
             clock,
         )
-        self.dispatcher.list_heard_s = lambda: self.beliefs.list_heard_s
+        self.dispatcher.list_heard_s = lambda: self.beliefs.server_list_as_of_s
         self._certainty = warmups.IssuerCertainty(
             warmups.WarmupSettings(),
             self.settings.peer_address,
             self._strong_instances,
             lambda: self.beliefs.instances_age_s,
-            lambda: self.beliefs.instances_settled_s,
+            lambda: self.beliefs.instances_unchanged_for_s,
         )
         self.dispatcher.configuration_age_s = lambda: (
             self.beliefs.configuration_age_s
         )
-        self.duties = duties.Duties(
-            duties.DutySettings(),
+        self.duties = cluster_tasks.ClusterTasks(
+            cluster_tasks.ClusterTaskSettings(),
             self.settings,
             self.log,
             self.lease_client,
--- a/libs/bridgecross-entry/src/bridgecross_entry/beliefs.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -18,9 +18,9 @@
 from bridgecross_entry import evacuations
 from bridgecross_entry import feeds
 from bridgecross_entry import follower as followers
+from bridgecross_entry import invalid_records
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
-from bridgecross_entry import left_aside
 from bridgecross_entry import log as logs
 from bridgecross_entry import model
 from bridgecross_entry import server_list
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeliefSettings:
+class ClusterStateSettings:
     """How often the log is read."""
 
     # Servers write their entries several times a second together, so waiting
@@ -74,7 +74,7 @@
     # 1.7 s of the 2 s allowed (docs/design/age-of-beliefs.md).
     own_read_age_s: float = 1.3
     # For so long after its start an instance leaves all reading to the leader;
-    # see ``FIRST_START``.
+    # see ``FIRST_START_SETTINGS``.
     first_read_wait_s: float = 0.0
     # A new instance waits for the leader's word until this one has read of it.
     instance_wait_ms: float = 1_200.0
@@ -90,7 +90,7 @@
     list_fresh_s: float = 1.6
 
 
-FIRST_START = BeliefSettings(first_read_wait_s=4.0)
+FIRST_START_SETTINGS = ClusterStateSettings(first_read_wait_s=4.0)
 """While the whole system starts for the first time there is no hurry: callers
 come about ten seconds later, and after two a leader is found and has told
 everybody. Four reads of each instance are then one of the leader; calls to the
@@ -127,7 +127,7 @@
 
     def decode_evacuation(
         self, record: logs.KeyedRecord
-    ) -> evacuations.Word | None:
+    ) -> evacuations.EvacuationChange | None:
         """Returns what a record of the configuration's topic says of a domain.
 
         None if it says nothing of any.
@@ -149,15 +149,15 @@
 """Up to where an instance knows the topics."""
 
 
-class Beliefs:
+class ClusterState:
     """Follows the log's topics and keeps what they say."""
 
     def __init__(
         self,
-        settings: BeliefSettings,
+        settings: ClusterStateSettings,
         log: logs.PlatformLog,
         decoder: Decoder,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         configure: Callable[[model.Configuration], None],
         journal: journals.Journal,
@@ -188,7 +188,7 @@
         # When a word about an instance last came.
         self._instances_changed_s = clock.monotonic_s()
         # Notified when there is something to tell others.
-        self.news = notifier.Notifier()
+        self.updated = notifier.Notifier()
         self._settings = settings
         self._log = log
         self._decoder = decoder
@@ -200,7 +200,8 @@
         self._configuration_is_unreadable = False
         topics = (decoder.configuration_topic, KEY_TOPIC, INSTANCE_TOPIC)
         self._aside = {
-            topic: left_aside.LeftAside(topic, journal) for topic in topics
+            topic: invalid_records.InvalidRecords(topic, journal)
+            for topic in topics
         }
         self._servers = feeds.Feed(decoder.server_topic)
         self._list = server_list.ServerList(
@@ -267,7 +268,7 @@
             take_changes,
             self._journal,
             self._clock,
-            self.news.notify if is_list else None,
+            self.updated.notify if is_list else None,
         )
 
     @property
@@ -285,14 +286,14 @@
         counts[self._servers.topic] = self._list.left_aside.count
         return counts
 
-    def _aside_of(self, feed: feeds.Feed) -> left_aside.LeftAside:
+    def _aside_of(self, feed: feeds.Feed) -> invalid_records.InvalidRecords:
         """Returns what was left aside of a topic."""
         return self._aside[feed.topic]
 
     @property
-    def list_heard_s(self) -> float | None:
+    def server_list_as_of_s(self) -> float | None:
         """When the list of servers was last heard of."""
-        return self._servers.follower.heard_s
+        return self._servers.follower.as_of_s
 
     @property
     def configuration_age_s(self) -> float:
@@ -312,7 +313,7 @@
     @property
     def list_is_fresh(self) -> bool:
         """Whether the list of servers was read just now."""
-        heard_s = self.list_heard_s
+        heard_s = self.server_list_as_of_s
         if heard_s is None:
             return False
         age_s = self._clock.monotonic_s() - heard_s
@@ -339,14 +340,17 @@
         return self._instances.follower.age_s
 
     @property
-    def instances_settled_s(self) -> float:
+    def instances_unchanged_for_s(self) -> float:
         """For how long nothing has been heard of any instance."""
         return self._clock.monotonic_s() - self._instances_changed_s
 
     @property
     def is_complete(self) -> bool:
         """Whether there is enough to route requests by."""
-        return self.configuration is not None and self.list_heard_s is not None
+        return (
+            self.configuration is not None
+            and self.server_list_as_of_s is not None
+        )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Starts to follow all topics."""
@@ -357,10 +361,10 @@
 
     # Telling others.
 
-    def begin_telling(self) -> None:
+    def start_relaying(self) -> None:
         """Reads for all from now on, waiting for nobody's word."""
         for feed in self._feeds:
-            feed.follower.stop_waiting()
+            feed.follower.stop_awaiting_relay()
 
     def offsets(self) -> Offsets:
         """Returns up to where this instance knows the topics."""
@@ -369,7 +373,7 @@
             for feed in self._feeds
         )
 
-    def news_since(self, known: Offsets) -> tuple[followers.TopicBatch, ...]:
+    def changes_since(self, known: Offsets) -> tuple[followers.TopicBatch, ...]:
         """Returns what one that knows the topics up to some offsets is told.
 
         Args:
@@ -382,7 +386,7 @@
         ]
         return tuple(batch for batch in batches if batch is not None)
 
-    def take_told(
+    def apply_relayed(
         self,
         batches: tuple[followers.TopicBatch, ...],
         delay_s: float | None = 0.0,
@@ -396,9 +400,9 @@
         """
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
-            feed.follower.take_told(batch, delay_s)
+            feed.follower.apply_relayed(batch, delay_s)
             if feed.follower.next_offset != known_to:
-                feed.note_told(batch)
+                feed.note_applied(batch)
 
     def _match(
         self, batches: tuple[followers.TopicBatch, ...]
@@ -411,7 +415,7 @@
             if batch.topic in feed_of
         ]
 
-    def news_beyond(
+    def changes_for_lost_topics(
         self, batches: tuple[followers.TopicBatch, ...]
     ) -> tuple[followers.TopicBatch, ...]:
         """Returns what is known here of topics that a teller cannot read.
@@ -426,13 +430,15 @@
         ]
         return tuple(batch for batch in found if batch and batch.records)
 
-    def take_found(self, batches: tuple[followers.TopicBatch, ...]) -> None:
+    def apply_from_follower(
+        self, batches: tuple[followers.TopicBatch, ...]
+    ) -> None:
         """Takes in what another instance knows beyond this one."""
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
-            feed.follower.take_found(batch)
+            feed.follower.apply_from_follower(batch)
             if feed.follower.next_offset != known_to:
-                feed.note_told(batch)
+                feed.note_applied(batch)
 
     def is_behind(self, batches: tuple[followers.TopicBatch, ...]) -> bool:
         """Whether one that tells some batches knows more than this one."""
@@ -454,7 +460,10 @@
         words, unclear = self._read_evacuations(records)
         # What no record says any more is over; what cannot be read stands.
         gone = evacuated - {word.domain for word in words} - unclear
-        words += [evacuations.Word(domain, False) for domain in sorted(gone)]
+        words += [
+            evacuations.EvacuationChange(domain, False)
+            for domain in sorted(gone)
+        ]
         self._evacuate(words)
         self._apply_configurations(records)
 
@@ -469,7 +478,7 @@
 
     def _read_evacuations(
         self, records: tuple[logs.KeyedRecord, ...]
-    ) -> tuple[list[evacuations.Word], set[str]]:
+    ) -> tuple[list[evacuations.EvacuationChange], set[str]]:
         """Returns what records say of failure domains.
 
         Returns:
@@ -502,17 +511,17 @@
             return set()
         return {word.domain} if word else set()
 
-    def _evacuate(self, words: list[evacuations.Word]) -> None:
+    def _evacuate(self, words: list[evacuations.EvacuationChange]) -> None:
         """Puts what the operator says of failure domains in force."""
         if words:
-            known_s = self._configurations.follower.heard_s
+            known_s = self._configurations.follower.as_of_s
             self._book.evacuate(words, known_s)
 
     def _apply_configurations(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
         """Puts the newest configuration in force, never an older one."""
-        self.news.notify()
+        self.updated.notify()
         for record in records:
             try:
                 new = self._decoder.decode_configuration(record)
@@ -555,7 +564,7 @@
             known_to=follower.next_offset,
             # The one before may have been out of force for so long at most.
             known_s_ago=(
-                None if follower.heard_s is None else round(follower.age_s, 3)
+                None if follower.as_of_s is None else round(follower.age_s, 3)
             ),
         )
 
@@ -604,7 +613,7 @@
 
     def _apply_instances(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Adds and takes off instances."""
-        self.news.notify()
+        self.updated.notify()
         for record in records:
             if record.key.startswith(REFUSED_PREFIX):
                 self._take_refused(record)
--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -75,7 +75,7 @@
         topic: str,
         follower: followers.Follower,
         keeper: leases.LeaseKeeper,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         loads: load_view.LoadView,
         list_is_fresh: Callable[[], bool],
@@ -167,7 +167,7 @@
         """Writes a map with this instance as coordinator."""
         begun_s = self._clock.monotonic_s()
         while not self._superseded:
-            if self._may_claim(begun_s) and await self._follower.start_over():
+            if self._may_claim(begun_s) and await self._follower.reload():
                 newest = self._table.newest(self._service)
                 if newest is None:
                     claimed = await self._found()
@@ -700,4 +700,6 @@
         )
         if key_range.prior_owner:
             self._unwritten_since_s = self._clock.monotonic_s()
-        self._table.settle(self._service, key_range.token, key_range.first_key)
+        self._table.mark_settled(
+            self._service, key_range.token, key_range.first_key
+        )
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -84,7 +84,7 @@
         settings: CrashWatchSettings,
         ledger: poison.PoisonLedger,
         client: attempts.BackendClient,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
--- a/libs/bridgecross-entry/src/bridgecross_entry/follower.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/follower.py
@@ -59,7 +59,7 @@
     # The greatest age since the last status, reached just before news came.
     longest_age_s: float
     # Words of the leader that were left aside, for want of what came before.
-    left_aside_count: int
+    dropped_batch_count: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -141,13 +141,13 @@
         self._first_read_s = clock.monotonic_s() + settings.first_read_wait_s
         # When the log was last read up to there, by this instance or by the
         # one that told it; None if never.
-        self.heard_s: float | None = None
+        self.as_of_s: float | None = None
         # Since when the log has been silent; None while it answers.
         self.lost_since_s: float | None = None
         # When the log last came back after it had been silent.
         self.regained_s = float("-inf")
         # When another instance last told what it read.
-        self.relayed_s = float("-inf")
+        self.last_relay_s = float("-inf")
         # By which way the records came that were taken last.
         self.source = Source.LOG
         # Whether the last answer left out what would have made it too long.
@@ -160,9 +160,9 @@
     @property
     def age_s(self) -> float:
         """How long ago the log was read; infinite if it never was."""
-        if self.heard_s is None:
+        if self.as_of_s is None:
             return float("inf")
-        return self._clock.monotonic_s() - self.heard_s
+        return self._clock.monotonic_s() - self.as_of_s
 
     @property
     def is_lost(self) -> bool:
@@ -174,7 +174,7 @@
 
     def take_status(self) -> TopicStatus:
         """Returns how well the topic is known; the longest age starts anew."""
-        age_s = None if self.heard_s is None else self.age_s
+        age_s = None if self.as_of_s is None else self.age_s
         longest_age_s = max(self._longest_age_s, age_s or 0.0)
         self._longest_age_s = 0.0
         return TopicStatus(
@@ -210,7 +210,9 @@
 
     # Told by another instance.
 
-    def take_told(self, batch: TopicBatch, delay_s: float | None = 0.0) -> None:
+    def apply_relayed(
+        self, batch: TopicBatch, delay_s: float | None = 0.0
+    ) -> None:
         """Takes what another instance knows, unless some is missing before it.
 
         What a leader knows is taken even if it cannot read the log itself;
@@ -232,10 +234,10 @@
         if batch.is_lost:
             self._take_lost()
             return
-        self.relayed_s = max(self.relayed_s, told_s)
+        self.last_relay_s = max(self.last_relay_s, told_s)
         self._note_regained()
 
-    def take_found(self, batch: TopicBatch) -> None:
+    def apply_from_follower(self, batch: TopicBatch) -> None:
         """Takes what another instance knows beyond this one.
 
         Nobody is waited for on that account: this instance reads on, or tries.
@@ -288,10 +290,10 @@
         it is tried here as well, for the log may be back for this one alone.
         """
         if self._settings.is_urgent and self.lost_since_s is None:
-            self.stop_waiting()
+            self.stop_awaiting_relay()
             return
         if not self._is_relayed():
-            self.relayed_s = self._clock.monotonic_s()
+            self.last_relay_s = self._clock.monotonic_s()
         self._note_lost("the leader has lost it")
 
     def _note_gap(self, batch: TopicBatch) -> None:
@@ -307,9 +309,9 @@
             told_from=batch.first_offset,
         )
 
-    def stop_waiting(self) -> None:
+    def stop_awaiting_relay(self) -> None:
         """Reads by itself from now on, until it is told something again."""
-        self.relayed_s = float("-inf")
+        self.last_relay_s = float("-inf")
         self._first_read_s = float("-inf")
 
     def _is_relayed(self) -> bool:
@@ -321,7 +323,7 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._first_read_s:
             return True
-        silent_s = now_s - self.relayed_s
+        silent_s = now_s - self.last_relay_s
         if silent_s >= self._settings.relay_fresh_s:
             return False
         is_lost = self.lost_since_s is not None
@@ -333,7 +335,7 @@
         """Reads what is there by now; returns whether the log answered."""
         return await self._step(0)
 
-    async def start_over(self) -> bool:
+    async def reload(self) -> bool:
         """Reads the newest records again; returns whether the log answered.
 
         What others told may have left a record out; before something is
@@ -410,7 +412,7 @@
             return False
         if self.next_offset is None:
             # The leader will tell what comes next, if there is one.
-            self.relayed_s = self._clock.monotonic_s()
+            self.last_relay_s = self._clock.monotonic_s()
         # More may have been told while the answer was under way.
         if self.next_offset is None or result.end >= self.next_offset:
             self._advance(
@@ -439,17 +441,17 @@
         self._note_age(heard_s)
         self._note_regained()
 
-    def _note_age(self, heard_s: float) -> None:
+    def _note_age(self, as_of_s: float) -> None:
         """Keeps when the log was read, be it by another instance."""
-        if self.heard_s is None:
-            self.heard_s = heard_s
-        elif heard_s > self.heard_s:
+        if self.as_of_s is None:
+            self.as_of_s = as_of_s
+        elif as_of_s > self.as_of_s:
             self._longest_age_s = max(self._longest_age_s, self.age_s)
-            self.heard_s = heard_s
+            self.as_of_s = as_of_s
 
     def _rounded_age_s(self) -> float | None:
         """Returns how old what is known is, for a line of the log."""
-        return None if self.heard_s is None else round(self.age_s, 3)
+        return None if self.as_of_s is None else round(self.age_s, 3)
 
     def _note_regained(self) -> None:
         """Keeps that the log is there again."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
@@ -189,7 +189,7 @@
         self.changed.notify()
         return True
 
-    def settle(
+    def mark_settled(
         self, service: ids.ServiceName, token: int, first_key: int
     ) -> None:
         """Takes in that the owner of a range holds it."""
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -75,7 +75,7 @@
         real = clock.SystemClock()
         journal = support.make_journal(real)
         bounds = bounds or support.BOUNDS
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), bounds, journal, real
         )
         for name in ("a", "b"):
@@ -310,7 +310,7 @@
         tasks.start_soon(scene.ask)
         await anyio.sleep(0.05)
         assert not backends.sent
-        scene.table.settle(ids.ServiceName("rapor"), 2, 0)
+        scene.table.mark_settled(ids.ServiceName("rapor"), 2, 0)
     assert backends.sent == ["b"]
 
 
@@ -455,7 +455,8 @@
     backends = Backends(OK)
     scene = Scene(backends)
     scene.book.evacuate(
-        [evacuations.Word("hall-1", is_evacuated=True)], known_s=None
+        [evacuations.EvacuationChange("hall-1", is_evacuated=True)],
+        known_s=None,
     )
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -4,8 +4,8 @@
 from bridgecross_entry import evacuations
 from bridgecross_entry import servers
 
-ON = evacuations.Word("hall-1", is_evacuated=True)
-OFF = evacuations.Word("hall-1", is_evacuated=False)
+ON = evacuations.EvacuationChange("hall-1", is_evacuated=True)
+OFF = evacuations.EvacuationChange("hall-1", is_evacuated=False)
 KEYS_FOR_S = support.BOUNDS.evacuation_ms / 1_000 / 2
 
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def book(clock):
-    made = servers.ServerBook(
+    made = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(clock),
@@ -32,7 +32,7 @@
     free = {
         s.listed.name
         for s in book.of_service("rapor")
-        if book.may_use_any(s, clock.now_s)
+        if book.may_use_without_key(s, clock.now_s)
     }
     keyed = {
         s.listed.name
--- a/libs/bridgecross-entry/tests/test_follower.py
+++ b/libs/bridgecross-entry/tests/test_follower.py
@@ -142,7 +142,7 @@
         tasks.start_soon(known.follower.catch_up)
         # The read is under way when the next two records are told.
         told = (log.KeyedRecord("a", b"4"),)
-        known.follower.take_told(
+        known.follower.apply_relayed(
             follower.TopicBatch(TOPIC, 1, 4, 4, told, 0.0, is_lost=False)
         )
     assert known.values == {"a": b"4"}
@@ -192,7 +192,7 @@
     await known.follower.catch_up()
     manual.now_s += 60
     batch = follower.TopicBatch(TOPIC, 0, 0, 0, (), told_age_s, is_lost)
-    known.follower.take_told(batch)
+    known.follower.apply_relayed(batch)
     assert known.follower._is_relayed() == waits
 
 
@@ -209,7 +209,7 @@
     await known.follower.catch_up()
     waits_ms.clear()
     batch = follower.TopicBatch(TOPIC, 0, 0, 0, (), 0.0, is_lost=False)
-    known.follower.take_told(batch)
+    known.follower.apply_relayed(batch)
     with anyio.move_on_after(0.3):
         await known.follower.run()
     assert waits_ms[0] == 0
--- a/libs/bridgecross-entry/tests/test_permit_client.py
+++ b/libs/bridgecross-entry/tests/test_permit_client.py
@@ -88,7 +88,7 @@
 ):
     real = clock.SystemClock()
     journal = support.make_journal(real)
-    book = servers.ServerBook(
+    book = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, journal, real
     )
     own = permit_issuer.PermitIssuer(
@@ -181,7 +181,7 @@
     slots, instance_count, is_used
 ):
     real = clock.SystemClock()
-    book = servers.ServerBook(
+    book = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(real),
--- a/libs/bridgecross-entry/tests/test_servers.py
+++ b/libs/bridgecross-entry/tests/test_servers.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def book(clock):
-    return servers.ServerBook(
+    return servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(clock),
@@ -22,7 +22,7 @@
     )
 
 
-def _server(book: servers.ServerBook) -> servers.Server:
+def _server(book: servers.ServerRegistry) -> servers.Server:
     server = book.get(NAME)
     assert server is not None
     return server
@@ -39,7 +39,7 @@
 
 def test_old_news_of_a_leaving_server_leaves_less_time_to_use_it(book, clock):
     book.put(support.make_server("a"))
-    book.heard_before_s = clock.now_s - 1.4
+    book.previous_list_as_of_s = clock.now_s - 1.4
     book.put(support.make_server("a", leaving=True))
     server = _server(book)
     assert book.may_use(server, clock.now_s + 0.05)
