--- a/libs/bridgecross-core/src/bridgecross_core/__init__.py
+++ b/libs/bridgecross-core/src/bridgecross_core/__init__.py
@@ -8,9 +8,9 @@
 * ``findings``: problems with their place, collected and reported together.
 * ``hashing``: keys to slices, and rendezvous ranking.
 * ``outcomes``: what became of a request.
-* ``pulse``: wakes the tasks that wait for a change.
+* ``notifier``: wakes the tasks that wait for a change.
 * ``signals``: turns the signals to stop into a call.
-* ``stamps``: a clock that orders events over all processes.
+* ``hybrid_clock``: orders the events of all processes causally.
 * ``timeouts``: gives up a wait only after what has arrived was read.
 """
 
@@ -19,10 +19,10 @@
     "codec",
     "findings",
     "hashing",
+    "hybrid_clock",
     "ids",
+    "notifier",
     "outcomes",
-    "pulse",
     "signals",
-    "stamps",
     "timeouts",
 ]
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -8,7 +8,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_daemon import _platform
 from bridgecross_daemon import _translate
 from bridgecross_daemon import peer_client
@@ -25,7 +25,7 @@
 from bridgecross_ownership import releases
 from bridgecross_ownership import reports
 from bridgecross_request import backends
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 from bridgecross_request import requests
 from bridgecross_request import routing
 from bridgecross_request import runner as runners
@@ -51,8 +51,8 @@
     make_backend: Callable[[backends.BackendSettings], ports.ServiceBackend]
     control: appenders.Appender
     intents: appenders.Appender
-    ledger: poison.PoisonLedger
-    tell_others: Callable[[poison.Subject], None]
+    ledger: poison_requests.PoisonLedger
+    tell_others: Callable[[poison_requests.Fingerprint], None]
 
 
 class ServiceParts:
@@ -64,7 +64,7 @@
         """Puts the parts together; ``run`` brings them to life."""
         self.cell = cell
         self.service = service
-        self.changed = pulse.Pulse()
+        self.changed = notifier.Notifier()
         self.book = reports.ReportBook(shared.clock)
         self._shared = shared
         self._forwarder = peer_client.PeerForwarder(
--- a/libs/bridgecross-entry/src/bridgecross_entry/duties.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -16,7 +16,7 @@
 from bridgecross_core import hashing
 from bridgecross_core import ids
 from bridgecross_entry import attempts
-from bridgecross_entry import beliefs
+from bridgecross_entry import cluster_state
 from bridgecross_entry import coordinator
 from bridgecross_entry import dispatch
 from bridgecross_entry import journal as journals
@@ -34,11 +34,11 @@
 from bridgecross_entry import relaying
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tasks as tasks_lib
-from bridgecross_request import poison
+from bridgecross_request import poison_requests
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySettings:
+class ClusterTaskSettings:
     """How often duties are done."""
 
     # How often load is reported: a hot key is seen after two reports.
@@ -56,18 +56,18 @@
     peer_lost_s: float = 20.0
 
 
-class Duties:
+class ClusterTasks:
     """What this instance does for others, and hears from them."""
 
     def __init__(
         self,
-        settings: DutySettings,
+        settings: ClusterTaskSettings,
         instance: model.InstanceSettings,
         log: logs.PlatformLog,
         lease_client: attempts.LeaseClient,
         peer_client: peers.PeerClient,
-        held: beliefs.Beliefs,
-        book: servers_lib.ServerBook,
+        held: cluster_state.ClusterState,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         dispatcher: dispatch.Dispatcher,
         journal: journals.Journal,
@@ -118,7 +118,7 @@
             dispatcher.watch.ledger,
             self._peer_client,
             self._peers,
-            lambda record: log.put(beliefs.INSTANCE_TOPIC, record),
+            lambda record: log.put(cluster_state.INSTANCE_TOPIC, record),
             journal,
             clock,
         )
@@ -179,7 +179,7 @@
             self._journal,
         )
 
-    async def give_up(self) -> None:
+    async def hand_over_lead(self) -> None:
         """Lets another instance lead; goes on coordinating until it does.
 
         It stays on the list of instances. Most stops are restarts; the leader
@@ -198,7 +198,7 @@
         another; the last of them says nothing of the others.
         """
         while True:
-            await self._beliefs.news.wait(self._settings.register_interval_s)
+            await self._beliefs.updated.wait(self._settings.register_interval_s)
             self.match_coordinators()
 
     def match_coordinators(self) -> None:
@@ -224,23 +224,27 @@
         """Keeps this instance on the list, and those that are gone off it."""
         own = self._platform.peer_address
         is_weak = leadership.LeadershipSettings().is_weak(self._platform)
-        listed = beliefs.ListedInstance(
+        listed = cluster_state.ListedInstance(
             self._platform.name, is_weak, self._platform.failure_domain
         )
-        record = logs.KeyedRecord(str(own), beliefs.INSTANCES.encode(listed))
+        record = logs.KeyedRecord(
+            str(own), cluster_state.INSTANCES.encode(listed)
+        )
         while not self._stopping:
             self._set_instances()
             known = self._beliefs.knows_instances
             known = known or self._platform.is_first_start
             missing = known and own not in self._beliefs.instances
-            if missing and await self._log.put(beliefs.INSTANCE_TOPIC, record):
+            if missing and await self._log.put(
+                cluster_state.INSTANCE_TOPIC, record
+            ):
                 self._beliefs.instances.add(own)
             if self._leadership.is_leader:
                 await self._drop_lost_peers()
                 await self.poison_news.drop_old_records()
             # The first look comes at once: the log may turn this instance away
             # a moment later, and nobody would know of it.
-            await self._beliefs.news.wait(self._settings.register_interval_s)
+            await self._beliefs.updated.wait(self._settings.register_interval_s)
 
     async def _drop_lost_peers(self) -> None:
         """Takes instances off the list that have been gone for long."""
@@ -252,7 +256,7 @@
                 "instance_dropped", address=str(peer), lost_s=round(lost_s, 1)
             )
             gone = logs.KeyedRecord(str(peer), b"")
-            if await self._log.put(beliefs.INSTANCE_TOPIC, gone):
+            if await self._log.put(cluster_state.INSTANCE_TOPIC, gone):
                 self._beliefs.instances.discard(peer)
 
     def _peers(self) -> tuple[model.Address, ...]:
@@ -260,7 +264,7 @@
         own = self._platform.peer_address
         return tuple(sorted(self._beliefs.instances - {own}))
 
-    def _rank(self, subject: poison.Subject) -> int:
+    def _rank(self, subject: poison_requests.Fingerprint) -> int:
         """Returns how many others try a suspect request before this one."""
         own = str(self._platform.peer_address)
         names = [own, *map(str, self._peers())]
@@ -280,7 +284,7 @@
     def _take_settled(self, settled: tuple[peers.Settled, ...]) -> None:
         """Takes the end of moves."""
         for each in settled:
-            self._table.settle(*each)
+            self._table.mark_settled(*each)
 
     def _view(self, service: ids.ServiceName) -> load_view.LoadView:
         """Returns the load of a service over all instances."""
@@ -326,9 +330,9 @@
     def _take_lead(self) -> None:
         """Takes the duties of the leader, or gives them up."""
         if self._leadership.is_leader:
-            self._beliefs.begin_telling()
+            self._beliefs.start_relaying()
             # The sooner the others know, the sooner orders may be given.
-            self._beliefs.news.notify()
+            self._beliefs.updated.notify()
         self.match_coordinators()
 
     async def _coordinate(
@@ -372,7 +376,7 @@
             planner.PlanSettings(),
             self._platform,
             self._log,
-            beliefs.KEY_TOPIC,
+            cluster_state.KEY_TOPIC,
             self._beliefs.key_follower,
             keeper,
             self._book,
--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -17,7 +17,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import follower as followers
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -75,7 +75,7 @@
         topic: str,
         follower: followers.Follower,
         keeper: leases.LeaseKeeper,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         loads: load_view.LoadView,
         list_is_fresh: Callable[[], bool],
@@ -127,7 +127,7 @@
         self._ranges: tuple[keymap.KeyRange, ...] = ()
         # The same, to be found at once: each renewal looks twice.
         self._range_set: frozenset[keymap.KeyRange] = frozenset()
-        self._wake = pulse.Pulse()
+        self._wake = notifier.Notifier()
         # Ranges whose move is under way, by first key.
         self._moving: set[int] = set()
         # Ranges that their prior owners hold no longer, by token and first
@@ -167,7 +167,7 @@
         """Writes a map with this instance as coordinator."""
         begun_s = self._clock.monotonic_s()
         while not self._superseded:
-            if self._may_claim(begun_s) and await self._follower.start_over():
+            if self._may_claim(begun_s) and await self._follower.reload():
                 newest = self._table.newest(self._service)
                 if newest is None:
                     claimed = await self._found()
@@ -700,4 +700,6 @@
         )
         if key_range.prior_owner:
             self._unwritten_since_s = self._clock.monotonic_s()
-        self._table.settle(self._service, key_range.token, key_range.first_key)
+        self._table.mark_settled(
+            self._service, key_range.token, key_range.first_key
+        )
--- a/libs/bridgecross-entry/src/bridgecross_entry/feeds.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/feeds.py
@@ -131,7 +131,7 @@
         """Returns the offset of the last record that was gone past."""
         return (self.follower.next_offset or 0) - 1
 
-    def note_told(self, batch: followers.TopicBatch) -> None:
+    def note_applied(self, batch: followers.TopicBatch) -> None:
         """Takes it that a batch was taken, which may lead across a jump."""
         if batch.first_offset is None or batch.last_offset >= batch.next_offset:
             return
--- a/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class RelayRound:
     """Who took the leader's word, of those that were told at a time."""
 
     # The claim that it was told under.
@@ -205,7 +205,7 @@
         """When every other instance first knew it, or had ended."""
         return self._known_to_all_s
 
-    def note_told(self, told: "Told") -> None:
+    def note_relay_round(self, told: "RelayRound") -> None:
         """Takes in who took the word of this instance."""
         if not self.is_leader or told.term != self._claim.term:
             return
@@ -272,7 +272,7 @@
                 self._confirmed_s = asked_s
         await anyio.sleep(self._settings.look_interval_s)
 
-    def hear(
+    def handle_heartbeat(
         self, claim: Claim, *, log_lost: bool = False, resigns: bool = False
     ) -> bool:
         """Takes the word of a leader.
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -83,7 +83,7 @@
 
 
 def _evacuate(scene):
-    word = evacuations.Word("hall-1", is_evacuated=True)
+    word = evacuations.EvacuationChange("hall-1", is_evacuated=True)
     long_ago_s = time.clock_gettime(time.CLOCK_BOOTTIME) - 60.0
     scene.book.evacuate([word], long_ago_s)
 
@@ -95,7 +95,7 @@
 def _cool(scene):
     for name in NAMES:
         server = scene.book.get(ids.ServerId(name))
-        server.cool(server.joined_s + 60.0)
+        server.mark_cold(server.joined_s + 60.0)
 
 
 def _move(scene):
@@ -143,7 +143,7 @@
     if "health" in way:
         wire.asks_health = True
         now_s = scene.dispatcher._clock.monotonic_s()
-        scene.dispatcher.list_confirmed_s = lambda: now_s - 60.0
+        scene.dispatcher.server_list_as_of_s = lambda: now_s - 60.0
     return wire, scene
 
 
--- a/libs/bridgecross-entry/tests/test_permit_client.py
+++ b/libs/bridgecross-entry/tests/test_permit_client.py
@@ -88,7 +88,7 @@
 ):
     real = clock.SystemClock()
     journal = support.make_journal(real)
-    book = servers.ServerBook(
+    book = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, journal, real
     )
     own = permit_issuer.PermitIssuer(
@@ -124,7 +124,7 @@
     wanted = permit_client.Wanted(
         RAPOR,
         1,
-        queueing.Due(now_s + 1.0, now_s + 2.0),
+        queueing.Deadlines(now_s + 1.0, now_s + 2.0),
         server,
         (),
         is_current,
@@ -181,7 +181,7 @@
     slots, instance_count, is_used
 ):
     real = clock.SystemClock()
-    book = servers.ServerBook(
+    book = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(real),
@@ -319,7 +319,7 @@
                 permit_client.Wanted(
                     RAPOR,
                     1,
-                    queueing.Due(now_s + 1.0, now_s + 2.0),
+                    queueing.Deadlines(now_s + 1.0, now_s + 2.0),
                     support.make_server("a"),
                     (),
                     lambda: True,
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         real = clock.SystemClock()
         journal = support.make_journal(real)
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.book.put(support.make_server("a"))
--- a/tests/load/scene.py
+++ b/tests/load/scene.py
@@ -349,7 +349,7 @@
             self._clock,
         )
         instance = houses.make_settings(number)
-        book = servers.ServerBook(
+        book = servers.ServerRegistry(
             self.load.judging, instance.bounds, journal, self._clock
         )
         for listed_servers in self._services.values():
@@ -378,7 +378,7 @@
     def _make_permits(
         self,
         instance: model.InstanceSettings,
-        book: servers.ServerBook,
+        book: servers.ServerRegistry,
         journal: journals.Journal,
     ) -> permit_client.PermitClient | None:
         if self.load.with_permits is False:
