--- a/libs/bridgecross-core/src/bridgecross_core/__init__.py
+++ b/libs/bridgecross-core/src/bridgecross_core/__init__.py
@@ -2,16 +2,16 @@
 
 Every other bridgecross library builds on these modules:
 
-* ``ids``: the names of instances, servers, services, slices and offsets.
-* ``clock``: where the time comes from.
-* ``codec``: bytes to typed values and back.
-* ``findings``: problems with their place, collected and reported together.
-* ``hashing``: keys to slices, and rendezvous ranking.
-* ``outcomes``: what became of a request.
-* ``notifier``: wakes the tasks that wait for a change.
-* ``signals``: turns the signals to stop into a call.
+* ``ids``: types for the ids of instances, servers, services and records.
+* ``clock``: the clock interface, and the system clock.
+* ``codec``: MessagePack and JSON codecs for typed values.
+* ``findings``: validation errors with their location, reported together.
+* ``hashing``: maps keys to slices, and ranks candidates by rendezvous hashing.
+* ``outcomes``: the possible outcomes of a request.
+* ``notifier``: wakes all tasks that wait for a change.
+* ``signals``: calls a function on SIGTERM and SIGINT.
 * ``hybrid_clock``: orders the events of all processes causally.
-* ``timeouts``: gives up a wait only after what has arrived was read.
+* ``timeouts``: a timeout that reads received data before it expires.
 """
 
 __all__ = [
--- a/libs/bridgecross-core/src/bridgecross_core/clock.py
+++ b/libs/bridgecross-core/src/bridgecross_core/clock.py
@@ -1,43 +1,45 @@
-"""Where the time comes from, so that tests can bring their own."""
+"""The clock interface, which tests replace, and the system clock."""
 
 from collections.abc import Callable
 import time
 from typing import Protocol
 
-_COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""The clock for ages and leases: one that stood still while the machine was
-suspended would call things young that others have long replaced."""
+_MONOTONIC_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+"""The clock for ages and leases. It must count the time during which the
+machine is suspended: otherwise data that others have replaced meanwhile would
+still appear fresh, and leases that have expired would appear valid."""
 
 
 class Clock(Protocol):
     """A source of time."""
 
     def monotonic_s(self) -> float:
-        """Returns seconds that never run backwards; for leases.
+        """Returns monotonic seconds, for ages and leases.
 
-        They go on while the machine is suspended.
+        They include the time during which the machine is suspended.
         """
 
     def wall_s(self) -> float:
-        """Returns seconds since 1970; for people and for logs only."""
+        """Returns seconds since 1970; for display and logs only."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The machine's clock."""
 
     def __init__(
         self, read: Callable[[int], float] = time.clock_gettime
     ) -> None:
-        """Reads nothing yet.
+        """Initializes the clock.
 
         Args:
-            read: Returns what the machine's clock of an id shows, in seconds.
+            read: Returns the time of the system clock with a given id, in
+                seconds.
         """
         self._read = read
 
     def monotonic_s(self) -> float:
         """Returns the machine's monotonic time in seconds."""
-        return self._read(_COUNTS_SUSPENSION)
+        return self._read(_MONOTONIC_CLOCK_ID)
 
     def wall_s(self) -> float:
         """Returns the machine's wall clock in seconds since 1970."""
--- a/libs/bridgecross-core/src/bridgecross_core/codec.py
+++ b/libs/bridgecross-core/src/bridgecross_core/codec.py
@@ -1,4 +1,4 @@
-"""Typed values to bytes and back, by ``msgspec``'s MessagePack and JSON."""
+"""Encodes typed values as MessagePack or JSON with ``msgspec``."""
 
 from typing import Any
 from typing import Generic
@@ -10,14 +10,14 @@
 
 
 class CodecError(ValueError):
-    """The bytes do not hold a value of the expected type."""
+    """The data does not decode to a value of the expected type."""
 
 
 class Codec(Generic[T]):
     """Encodes and decodes one type as MessagePack."""
 
     def __init__(self, value_type: type[T]) -> None:
-        """Prepares the codec.
+        """Initializes the codec.
 
         Args:
             value_type: A NamedTuple, TypedDict, dataclass or Struct type.
@@ -28,14 +28,14 @@
         )
 
     def encode(self, value: T) -> bytes:
-        """Returns the value as bytes."""
+        """Returns the encoded value."""
         return self._encoder.encode(value)
 
     def decode(self, data: bytes) -> T:
-        """Returns the value that the bytes hold.
+        """Returns the decoded value.
 
         Raises:
-            CodecError: The bytes are truncated or of another type.
+            CodecError: The data is truncated or of another type.
         """
         try:
             return self._decoder.decode(data)
@@ -48,7 +48,7 @@
 
     Args:
         value: Anything that msgspec can encode.
-        indent: Spaces an indented level; 0 gives one line.
+        indent: Spaces per indentation level; 0 puts everything on one line.
     """
     text = msgspec.json.encode(value)
     if indent:
@@ -57,10 +57,10 @@
 
 
 def from_json(text: bytes | str, value_type: type[T]) -> T:
-    """Returns the typed value that a JSON text holds.
+    """Returns the typed value that a JSON text represents.
 
     Raises:
-        CodecError: The text is not JSON, or of another type.
+        CodecError: The text is not JSON, or its value is of another type.
     """
     try:
         return msgspec.json.decode(text, type=value_type)
@@ -69,16 +69,16 @@
 
 
 def to_readable_json(value: object, *, indent: int = 0) -> str:
-    """Returns a value as JSON in which every field is named.
+    """Returns a value as JSON, with NamedTuples as objects.
 
-    ``msgspec`` writes a NamedTuple as an array, which is right between our
-    own processes; people and scripts want its field names.
+    ``msgspec`` encodes a NamedTuple as an array, which is compact between our
+    own processes; output for people and scripts needs the field names.
     """
     return to_json(_name_fields(value), indent=indent)
 
 
 def _name_fields(value: Any) -> Any:
-    """Returns a value with each NamedTuple turned into a dict."""
+    """Returns a copy of a value with each NamedTuple converted to a dict."""
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
         return {k: _name_fields(v) for k, v in value._asdict().items()}
     if isinstance(value, (list, tuple)):
--- a/libs/bridgecross-core/src/bridgecross_core/findings.py
+++ b/libs/bridgecross-core/src/bridgecross_core/findings.py
@@ -1,4 +1,4 @@
-"""Problems with their place, collected and reported together."""
+"""Validation errors with their location, collected and reported together."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -6,30 +6,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Place:
-    """Where a finding was made."""
+    """The location of a finding."""
 
-    # The file, or the stream of the log, that holds the text.
+    # The file or log stream that contains the document.
     source: str
-    # The line in the file or the offset in the stream; 0 if neither is known.
+    # The line in the file or the offset in the stream; 0 if unknown.
     line: int = 0
-    # The path inside the document, such as ``places.anadolu.services``.
+    # The path within the document, such as ``places.anadolu.services``.
     path: str = ""
 
     def __str__(self) -> str:
-        """Renders ``source:line: path``, leaving out what is not known."""
+        """Renders ``source:line: path`` without the parts that are unknown."""
         text = f"{self.source}:{self.line}" if self.line else self.source
         return f"{text}: {self.path}" if self.path else text
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """One problem."""
+    """One problem in a document."""
 
-    # Where it is.
+    # Where the problem is.
     place: Place
-    # What is wrong, as a sentence without a full stop.
+    # What is wrong, without a full stop at the end.
     problem: str
-    # What would put it right; empty if unknown.
+    # How to fix it; empty if unknown.
     hint: str = ""
 
     def __str__(self) -> str:
@@ -39,9 +39,9 @@
 
 
 class FindingsError(ValueError):
-    """One or more findings make a document unusable."""
+    """A document is unusable because of one or more findings."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
-        """Keeps the findings for the caller to report."""
+        """Stores the findings and renders them as the error message."""
         self.findings = tuple(findings)
         super().__init__("\n".join(str(finding) for finding in self.findings))
--- a/libs/bridgecross-core/src/bridgecross_core/hybrid_clock.py
+++ b/libs/bridgecross-core/src/bridgecross_core/hybrid_clock.py
@@ -1,8 +1,8 @@
-"""A hybrid logical clock: stamps that order events causally.
+"""A hybrid logical clock, whose timestamps order events causally.
 
 After Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical Physical Clocks"
-(2014): a stamp follows the wall clock as closely as causality allows, so
-stamps of different processes can be sorted into one time line.
+(2014): a timestamp follows the wall clock as closely as causality allows, so
+timestamps of different processes can be sorted into one timeline.
 """
 
 from typing import NamedTuple
@@ -13,30 +13,30 @@
 
 
 class Timestamp(NamedTuple):
-    """A point on the time line; stamps compare in causal order."""
+    """A hybrid timestamp; timestamps compare in causal order."""
 
     wall_us: int
     logical: int
 
 
 class HybridClock:
-    """Gives the stamps of one process."""
+    """Issues the timestamps of one process."""
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Starts at the wall clock's time."""
+        """Initializes the clock; it follows the wall clock of ``clock``."""
         self._clock = clock
         self._last = Timestamp(0, 0)
 
     def tick(self) -> Timestamp:
-        """Returns the stamp of an event in this process."""
+        """Returns the timestamp of a local event."""
         return self._advance(Timestamp(0, 0))
 
     def observe(self, received: Timestamp) -> Timestamp:
-        """Returns a stamp later than one that came with a message."""
+        """Returns a timestamp later than that of a received message."""
         return self._advance(received)
 
     def _advance(self, received: Timestamp) -> Timestamp:
-        """Moves past the last stamp, the received one and the wall clock."""
+        """Advances past the last timestamp and the received one."""
         wall_us = int(self._clock.wall_s() * _MICROSECONDS)
         highest = max(self._last, received)
         if wall_us > highest.wall_us:
--- a/libs/bridgecross-core/src/bridgecross_core/ids.py
+++ b/libs/bridgecross-core/src/bridgecross_core/ids.py
@@ -1,30 +1,31 @@
-"""Names and numbers by which the parts of the system know one another."""
+"""Types for the ids and numbers that the libraries share."""
 
 from typing import NewType
 
 InstanceId = NewType("InstanceId", str)
-"""One run of an entry instance; a restart gets a new one."""
+"""The id of one run of an entry instance; each restart gets a new one."""
 
 ServerId = NewType("ServerId", str)
-"""One backend server, as the instance list names it."""
+"""The id of a backend server, as in the instance list."""
 
 ServiceName = NewType("ServiceName", str)
-"""A service of a house, such as ``rapor``."""
+"""The name of a service of a house, such as ``rapor``."""
 
 SliceIndex = NewType("SliceIndex", int)
-"""A slice: the unit of ownership, a fixed share of a service's keys."""
+"""The index of a slice. A slice is a fixed share of a service's keys and the
+unit of ownership."""
 
 Offset = NewType("Offset", int)
-"""The position of a record in one stream of the log, from 0."""
+"""The position of a record in one stream of the log, starting at 0."""
 
 Term = NewType("Term", int)
-"""A coordinator's period of office: the offset of its valid claim."""
+"""A coordinator's term, numbered by the offset of its valid claim record."""
 
 Token = NewType("Token", int)
-"""A fencing token: the offset of the assignment that made a grant."""
+"""A fencing token: the offset of the assignment record behind a grant."""
 
 NO_OFFSET = Offset(-1)
-"""Stands for "no record yet"."""
+"""The offset that stands for no record."""
 
 NO_TOKEN = Token(-1)
-"""Lower than every token that an assignment can give."""
+"""A token lower than that of any assignment."""
--- a/libs/bridgecross-core/src/bridgecross_core/notifier.py
+++ b/libs/bridgecross-core/src/bridgecross_core/notifier.py
@@ -1,4 +1,4 @@
-"""Wakes every task that waits for some state to change."""
+"""Wakes all tasks that wait for a state change."""
 
 from collections.abc import Callable
 
@@ -6,12 +6,13 @@
 
 
 class Notifier:
-    """A broadcast: ``notify`` wakes all tasks that wait at that moment."""
+    """Broadcasts changes: ``notify`` wakes all tasks that currently wait."""
 
     def __init__(self) -> None:
-        """Nobody waits yet."""
+        """Initializes the notifier."""
         self._event = anyio.Event()
-        # How often it was notified, for those that were busy meanwhile.
+        # The number of notifications; lets a task that did not wait at the
+        # time detect that it missed some.
         self.count = 0
 
     def notify(self) -> None:
@@ -24,10 +25,10 @@
         """Waits for the next ``notify``.
 
         Args:
-            timeout_s: The longest wait.
+            timeout_s: The maximum time to wait.
 
         Returns:
-            Whether it was notified in time.
+            Whether the notification came before the timeout.
         """
         event = self._event
         with anyio.move_on_after(timeout_s):
@@ -37,10 +38,10 @@
     async def wait_until(
         self, condition: Callable[[], bool], timeout_s: float
     ) -> bool:
-        """Waits until a condition holds, looking again at each ``notify``.
+        """Waits until a condition holds; checks it at each ``notify``.
 
         Returns:
-            Whether the condition came to hold in time.
+            Whether the condition held before the timeout.
         """
         with anyio.move_on_after(timeout_s):
             while not condition():
--- a/libs/bridgecross-core/src/bridgecross_core/outcomes.py
+++ b/libs/bridgecross-core/src/bridgecross_core/outcomes.py
@@ -1,8 +1,8 @@
-"""What became of a request, as tagged dataclasses.
+"""The possible outcomes of a request.
 
-A request ends in exactly one of three ways. ``NotRun`` is a promise that the
-backend server did not run it, so it always carries the proof. ``Unknown`` is
-used whenever no such proof exists.
+A request has exactly one of three outcomes. ``NotRun`` guarantees that the
+backend server did not run the request, so it always carries a proof.
+``Unknown`` is used whenever there is neither an answer nor such a proof.
 """
 
 import dataclasses
@@ -10,27 +10,27 @@
 
 
 class NotRunProof(enum.Enum):
-    """Why it is certain that a request was not run."""
+    """The reason why a request certainly was not run."""
 
     REFUSED_BY_ADMISSION = "refused-by-admission"
-    """An entry instance refused it before a byte was sent to a server."""
+    """An entry instance refused it before sending anything to a server."""
 
     NEVER_WRITTEN = "never-written"
-    """No connection to the server came about, so no byte was sent."""
+    """No connection to the server was established, so nothing was sent."""
 
     REFUSED_BY_FENCE = "refused-by-fence"
-    """The server answered that the fencing token or lease is not valid."""
+    """The server rejected the fencing token or the lease as invalid."""
 
     SHED_BY_SERVER = "shed-by-server"
-    """The server answered that it refused the request to shed load."""
+    """The server refused the request to shed load."""
 
     INTENT_NOT_WON = "intent-not-won"
-    """The log gave the right to run it to nobody, or took it back."""
+    """The log granted nobody the right to run it, or the right was revoked."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Header:
-    """One HTTP header of an answer."""
+    """One HTTP header field."""
 
     # The name in lower case.
     name: bytes
@@ -40,16 +40,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """The backend server answered, and the answer is whole."""
+    """The backend server answered, and the answer is complete."""
 
-    # The HTTP status that the server gave.
+    # The HTTP status of the answer.
     status: int
-    # The headers to pass on to the caller.
+    # The headers to forward to the caller.
     headers: tuple[Header, ...]
-    # The whole body.
+    # The complete body.
     body: bytes
-    # How many times as long as usual work takes at the server at this moment,
-    # as it says itself; None if it does not.
+    # The server's current service time relative to its usual one, as reported
+    # by the server; None if it does not report it.
     pace_ratio: float | None = None
 
 
@@ -59,13 +59,13 @@
 
     # The proof that it was not run.
     proof: NotRunProof
-    # What happened, for the caller to read.
+    # The reason as shown to the caller.
     reason: str
-    # The HTTP status to tell the caller.
+    # The HTTP status to return to the caller.
     status: int = 503
-    # When to come back; 0 if coming back would not help.
+    # When the caller may retry; 0 if a retry would not help.
     retry_after_ms: int = 0
-    # Whether another attempt, after a fresh look at the log, may succeed.
+    # Whether a retry may succeed once the log has been read again.
     reroute: bool = False
 
 
@@ -73,11 +73,11 @@
 class Unknown:
     """The request may or may not have been run."""
 
-    # What happened, for the caller to read.
+    # The reason as shown to the caller.
     reason: str
-    # The HTTP status to tell the caller.
+    # The HTTP status to return to the caller.
     status: int = 504
 
 
 Outcome = Answered | NotRun | Unknown
-"""The three ways in which a request ends."""
+"""Any outcome of a request."""
--- a/libs/bridgecross-core/src/bridgecross_core/signals.py
+++ b/libs/bridgecross-core/src/bridgecross_core/signals.py
@@ -1,4 +1,4 @@
-"""Turns the signals that ask a process to stop into a call."""
+"""Calls a function on the signals that ask a process to stop."""
 
 from collections.abc import Callable
 import signal
@@ -15,8 +15,8 @@
     """Calls a function at each SIGTERM or SIGINT, until cancelled.
 
     Args:
-        stop: Begins a planned stop; it may be called more than once.
-        task_status: Told once the signals are being watched.
+        stop: Begins a graceful shutdown; may be called more than once.
+        task_status: Signals that the handlers are installed.
     """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         task_status.started()
--- a/libs/bridgecross-core/src/bridgecross_core/timeouts.py
+++ b/libs/bridgecross-core/src/bridgecross_core/timeouts.py
@@ -1,8 +1,8 @@
-"""A limit for a wait that reads what has arrived before it gives up.
+"""A timeout that lets the event loop read received data before it expires.
 
-A process that stood still, or was busy for long, finds its timers due and its
-sockets full at the same moment. ``uvloop`` then runs the timers first: a wait
-that they cut loses an answer that came in time.
+After a process was suspended or its event loop was blocked, its timers are due
+and its sockets readable at the same time. ``uvloop`` runs the timers first, so
+an ordinary timeout would drop an answer that arrived in time.
 """
 
 import asyncio
@@ -14,19 +14,19 @@
 
 from bridgecross_core import clock as clocks
 
-_STEP_S = 0.25
-"""How often a long wait looks at the clock: the loop's timers stand still while
-the machine is suspended, so one may come too late by any time."""
+_CLOCK_CHECK_INTERVAL_S = 0.25
+"""How often a long wait checks the clock. The loop's timers stop while the
+machine is suspended, so a single timer could fire arbitrarily late."""
 
-_TIMER_STEP_S = 0.001
-"""``uvloop`` counts timers in whole milliseconds, and rounds."""
+_MIN_TIMER_DELAY_S = 0.001
+"""``uvloop`` rounds the delays of timers to whole milliseconds."""
 
-_TURNS_COUNT = 8
-"""Turns of the loop between a limit and the end of the wait.
+_GRACE_ITERATIONS = 8
+"""Iterations of the event loop between the deadline and the cancellation.
 
-Each turn reads all sockets without waiting. An answer takes two: one to read
-it, one in which the task that waits takes it; the rest is for what passes it on
-through queues and events. A turn with nothing to do takes some 10 us.
+Each iteration polls all sockets without blocking. An answer takes two: one to
+read it, and one in which the waiting task receives it; the others are for
+answers that pass through queues and events. An idle iteration takes some 10 us.
 """
 
 
@@ -34,14 +34,14 @@
 def move_on_after(
     delay_s: float, clock: clocks.Clock
 ) -> Iterator[anyio.CancelScope]:
-    """Cancels its block after a time, as ``anyio.move_on_after`` does.
+    """Cancels its block after a timeout, like ``anyio.move_on_after``.
 
     Args:
-        delay_s: The longest wait, in seconds; may be infinite.
-        clock: By which it is counted.
+        delay_s: The timeout in seconds; may be infinite.
+        clock: The clock that measures the timeout.
 
     Yields:
-        The scope; its ``cancelled_caught`` tells whether the block was cut.
+        The scope; ``cancelled_caught`` tells whether the block was cancelled.
     """
     scope = anyio.CancelScope()
     timer = _Timer(scope, clock, delay_s)
@@ -54,42 +54,42 @@
 
 
 class _Timer:
-    """Cancels a scope some turns of the loop after a time."""
+    """Cancels a scope some iterations of the event loop after a deadline."""
 
     def __init__(
         self, scope: anyio.CancelScope, clock: clocks.Clock, delay_s: float
     ) -> None:
-        """Does not run yet."""
+        """Sets the deadline; ``start`` starts the timer."""
         self._scope = scope
         self._clock = clock
-        self._until_s = clock.monotonic_s() + delay_s
+        self._deadline_s = clock.monotonic_s() + delay_s
         self._loop = asyncio.get_running_loop()
-        self._left_count = _TURNS_COUNT
+        self._iterations_left = _GRACE_ITERATIONS
         self._handle: asyncio.Handle | None = None
 
     def start(self) -> None:
-        """Begins to count, unless there is no limit."""
-        if math.isfinite(self._until_s):
-            self._step()
+        """Starts the timer, unless the timeout is infinite."""
+        if math.isfinite(self._deadline_s):
+            self._check_deadline()
 
-    def _step(self) -> None:
-        """Waits for a part of the time that is left, if any is."""
-        left_s = self._until_s - self._clock.monotonic_s()
+    def _check_deadline(self) -> None:
+        """Schedules the next check, or begins to cancel after the deadline."""
+        left_s = self._deadline_s - self._clock.monotonic_s()
         if left_s <= 0:
-            self._turn()
+            self._count_down()
             return
-        delay_s = max(min(left_s, _STEP_S), _TIMER_STEP_S)
-        self._handle = self._loop.call_later(delay_s, self._step)
+        delay_s = max(min(left_s, _CLOCK_CHECK_INTERVAL_S), _MIN_TIMER_DELAY_S)
+        self._handle = self._loop.call_later(delay_s, self._check_deadline)
 
     def stop(self) -> None:
-        """Cancels nothing any more."""
+        """Stops the timer, so that the scope is no longer cancelled."""
         if self._handle is not None:
             self._handle.cancel()
 
-    def _turn(self) -> None:
-        """Lets one turn pass; cancels after the last."""
-        if not self._left_count:
+    def _count_down(self) -> None:
+        """Lets one loop iteration pass; cancels the scope after the last."""
+        if not self._iterations_left:
             self._scope.cancel()
             return
-        self._left_count -= 1
-        self._handle = self._loop.call_soon(self._turn)
+        self._iterations_left -= 1
+        self._handle = self._loop.call_soon(self._count_down)
--- a/libs/bridgecross-core/tests/test_notifier.py
+++ b/libs/bridgecross-core/tests/test_notifier.py
@@ -6,7 +6,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_wait_until_sees_a_change_and_a_timeout():
+async def test_wait_until_returns_on_a_change_and_on_a_timeout():
     changed = notifier.Notifier()
     state = {"open": False}
 
--- a/libs/bridgecross-core/tests/test_timeouts.py
+++ b/libs/bridgecross-core/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""What has arrived is read before a wait for it is given up."""
+"""Data that arrived before a timeout is read, also if the loop was blocked."""
 
 import asyncio
 import socket
@@ -15,58 +15,60 @@
 LOOPS = {"asyncio": asyncio.new_event_loop, "uvloop": uvloop.new_event_loop}
 
 
-async def _read_over_a_standstill(limit_s: float, stands_s: float) -> bytes:
-    """Waits for bytes that come while the process stands still.
+async def _read_while_blocked(timeout_s: float, blocked_s: float) -> bytes:
+    """Waits for bytes that arrive while the event loop is blocked.
 
-    It does so in what another socket woke, as a process that is busy with one
-    message while the next one comes.
+    The callback of another socket blocks it, as in a process that is busy
+    with one message when the next one arrives.
     """
     loop = asyncio.get_running_loop()
     near, far = socket.socketpair()
     other_near, other_far = socket.socketpair()
     reader, writer = await asyncio.open_connection(sock=near)
 
-    def stand_still() -> None:
+    def block() -> None:
         loop.remove_reader(other_near)
         far.send(b"answer")
-        time.sleep(stands_s)
+        time.sleep(blocked_s)
 
-    loop.add_reader(other_near, stand_still)
-    loop.call_later(limit_s / 2, other_far.send, b"wake")
-    got = b""
-    with timeouts.move_on_after(limit_s, CLOCK):
-        got = await reader.read(100)
+    loop.add_reader(other_near, block)
+    loop.call_later(timeout_s / 2, other_far.send, b"wake")
+    received = b""
+    with timeouts.move_on_after(timeout_s, CLOCK):
+        received = await reader.read(100)
     writer.close()
     for opened in (far, other_near, other_far):
         opened.close()
-    return got
+    return received
 
 
 @pytest.mark.parametrize("make_loop", LOOPS.values(), ids=LOOPS.keys())
-@pytest.mark.parametrize("stands_s", [0.0, 0.2, 0.5])
-def test_what_came_during_a_standstill_is_read(make_loop, stands_s):
+@pytest.mark.parametrize("blocked_s", [0.0, 0.2, 0.5])
+def test_data_that_arrives_while_the_loop_is_blocked_is_read(
+    make_loop, blocked_s
+):
     with asyncio.Runner(loop_factory=make_loop) as runner:
-        got = runner.run(_read_over_a_standstill(0.1, stands_s))
-    assert got == b"answer"
+        received = runner.run(_read_while_blocked(0.1, blocked_s))
+    assert received == b"answer"
 
 
 @pytest.mark.parametrize("make_loop", LOOPS.values(), ids=LOOPS.keys())
-@pytest.mark.parametrize("limit_s", [-1.0, 0.0, 0.05])
-def test_what_does_not_come_is_given_up(make_loop, limit_s):
+@pytest.mark.parametrize("timeout_s", [-1.0, 0.0, 0.05])
+def test_a_block_that_takes_too_long_is_cancelled(make_loop, timeout_s):
     async def wait() -> tuple[bool, float]:
         begun_s = time.monotonic()
-        with timeouts.move_on_after(limit_s, CLOCK) as scope:
+        with timeouts.move_on_after(timeout_s, CLOCK) as scope:
             await asyncio.sleep(5.0)
         return scope.cancelled_caught, time.monotonic() - begun_s
 
     with asyncio.Runner(loop_factory=make_loop) as runner:
-        given_up, took_s = runner.run(wait())
-    assert given_up
-    assert limit_s <= took_s < 1.0
+        cancelled, took_s = runner.run(wait())
+    assert cancelled
+    assert timeout_s <= took_s < 1.0
 
 
 @pytest.mark.parametrize("make_loop", LOOPS.values(), ids=LOOPS.keys())
-def test_what_ends_in_time_is_not_cut(make_loop):
+def test_a_block_that_ends_in_time_is_not_cancelled(make_loop):
     async def work() -> list[int]:
         done = []
         for number in range(3):
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.parametrize("make_loop", LOOPS.values(), ids=LOOPS.keys())
-def test_an_outer_cancellation_goes_through(make_loop):
+def test_an_outer_cancellation_propagates(make_loop):
     async def work() -> bool:
         with anyio.move_on_after(0.02) as outer:
             with timeouts.move_on_after(10.0, CLOCK):
