--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -80,7 +80,7 @@
         moves=moves,
         fronts=fronts,
         settled=(),
-        seated=(),
+        accepted_fronts=(),
         retired=(),
         reason="first",
     )
@@ -161,7 +161,7 @@
             ),
             fronts=(),
             settled=(),
-            seated=(),
+            accepted_fronts=(),
             retired=(),
             reason="",
         )
@@ -208,10 +208,10 @@
     """Measures a plan without change and one after a domain's loss."""
     cell = state.find_cell(SERVICE)
     usable = dict.fromkeys(
-        (_server(n) for n in range(servers)), planner.Standing.USABLE
+        (_server(n) for n in range(servers)), planner.Eligibility.USABLE
     )
     lost = usable | dict.fromkeys(
-        (_server(n) for n in range(0, servers, 7)), planner.Standing.UNUSABLE
+        (_server(n) for n in range(0, servers, 7)), planner.Eligibility.UNUSABLE
     )
     view = planner.PlannerView(
         cell=cell,
@@ -222,7 +222,7 @@
             ids.SliceIndex(n): float(n % 50) for n in range(len(cell.slices))
         },
         unfit_fronts=set(),
-        bequeathed=set(),
+        handed_over=set(),
     )
     settings = planner.PlannerSettings(1.25, 16)
     idle_s = rows.measure_cpu_s(lambda: planner.plan(view, settings))
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -16,7 +16,7 @@
 from bridgecross_daemon import peer_server
 from bridgecross_daemon import peering
 from bridgecross_log import http_service
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership
 from bridgecross_ownership import reports
@@ -219,13 +219,13 @@
         servers=[
             reports.ServerReport(
                 ids.ServerId(f"rapor-{n}"),
-                keeping.ServerHealth.UP,
+                lease_manager.ServerHealth.UP,
                 ids.Token(123_456),
             )
             for n in range(servers)
         ],
         settled=[],
-        bequeathed=[],
+        handed_over=[],
         loads=[reports.SliceLoad(ids.SliceIndex(n), 100) for n in range(10)],
     )
     return peering.Heartbeat(ids.InstanceId("entry-1"), False, [report])
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_news.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_news.py
@@ -26,7 +26,7 @@
 
 
 class NewsReader:
-    """Asks other instances; a ``keeper.WitnessSource``."""
+    """Asks other instances; a ``releases.WitnessSource``."""
 
     def __init__(
         self,
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -19,7 +19,7 @@
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import coordinator as coordinators
 from bridgecross_ownership import fronts as front_sets
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership as memberships
 from bridgecross_ownership import releases
@@ -120,19 +120,19 @@
         return peering.wrap_outcome(await self.runner.run(request))
 
     async def run_inherited(
-        self, wire: requests.WireRequest, bequest: releases.Bequest
+        self, wire: requests.WireRequest, bequest: releases.Takeover
     ) -> peering.WireOutcome:
         """Runs a request at the heir of the key's owner."""
         await self.changed.wait_until(
             lambda: self.cell.head >= wire.head, _CATCH_UP_S
         )
         request = requests.from_wire(wire, self._shared.clock.monotonic_s())
-        outcome = await self.runner.run_inherited(request, bequest)
+        outcome = await self.runner.run_takeover(request, bequest)
         return peering.wrap_outcome(outcome)
 
     def build_report(self) -> reports.ServiceReport:
         """Returns what this instance reports to the coordinator."""
-        kept = list(self.fronts.keepers.values())
+        kept = list(self.fronts.managers.values())
         loads = []
         for keeper in kept:
             loads += [
@@ -146,12 +146,12 @@
                 reports.ServerReport(
                     k.server,
                     k.health,
-                    k.front.token if k.is_seated() else ids.NO_TOKEN,
+                    k.front.token if k.is_front_accepted() else ids.NO_TOKEN,
                 )
                 for k in kept
             ],
             settled=[grant for k in kept for grant in k.list_settled()],
-            bequeathed=[grant for k in kept for grant in k.list_bequeathed()],
+            handed_over=[grant for k in kept for grant in k.list_handed_over()],
             loads=loads,
         )
 
@@ -177,7 +177,7 @@
                     else 0,
                     slices=self.cell.count_slices_of(keeper.server),
                 )
-                for keeper in self.fronts.keepers.values()
+                for keeper in self.fronts.managers.values()
             ],
             waiting=dict(self.runner.waiting),
             served=served,
@@ -187,10 +187,10 @@
         """Closes the connections to the servers."""
         await self.backend.aclose()
 
-    def _keeper_ports(self) -> keeping.KeeperPorts:
+    def _keeper_ports(self) -> lease_manager.LeaseManagerPorts:
         """Returns what the keepers work with."""
         shared = self._shared
-        return keeping.KeeperPorts(
+        return lease_manager.LeaseManagerPorts(
             me=shared.me,
             cell=self.cell,
             authority=shared.authority,
@@ -231,7 +231,7 @@
             backend=self.backend,
             addresses=shared.addresses,
             intents=shared.intents,
-            heirs=self._forwarder,
+            backups=self._forwarder,
             me=shared.me,
             clock=shared.clock,
             ledger=shared.ledger,
@@ -269,16 +269,16 @@
     async def await_release(
         self, front: ids.InstanceId, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Asks a front; see ``keeper.ReleaseSource``."""
+        """Asks a front; see ``releases.ReleaseSource``."""
         if front == self._me:
             return await self._parts.fronts.answer_release(query)
         return await self._peers.await_release(front, query)
 
-    async def is_office_over(
-        self, front: ids.InstanceId, query: releases.OfficeQuery
+    async def is_front_drained(
+        self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
         """Asks an earlier front; see ``releases.ReleaseSource``."""
         if front == self._me:
-            reply = await self._parts.fronts.answer_office(query)
-            return reply.is_over
-        return await self._peers.is_office_over(front, query)
+            reply = await self._parts.fronts.answer_front_drained(query)
+            return reply.is_drained
+        return await self._peers.is_front_drained(front, query)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
@@ -1,7 +1,7 @@
 """The settings of each part, taken from the settings of a service."""
 
 from bridgecross_ownership import coordinator as coordinators
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_request import backends
 from bridgecross_request import queueing
 from bridgecross_request import retries
@@ -10,9 +10,11 @@
 from bridgecross_settings import tree
 
 
-def keeper_settings(policy: policies.Policy) -> keeping.KeeperSettings:
+def keeper_settings(
+    policy: policies.Policy,
+) -> lease_manager.LeaseManagerSettings:
     """Returns the settings of the service's keepers."""
-    return keeping.KeeperSettings(
+    return lease_manager.LeaseManagerSettings(
         checks_fences=policy.checks_fences,
         lease_ms=policy.lease_ms,
         renew_interval_ms=policy.renew_interval_ms,
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -301,13 +301,13 @@
         return await parts.fronts.answer_release(request)
 
     async def office(
-        self, request: releases.OfficeQuery
-    ) -> releases.OfficeReply:
+        self, request: releases.FrontDrainedQuery
+    ) -> releases.FrontDrainedReply:
         """Tells whether all is over that this one did as a server's front."""
         parts = self._services.get(request.service)
         if parts is None:
-            return releases.OfficeReply(self._me, is_over=False)
-        return await parts.fronts.answer_office(request)
+            return releases.FrontDrainedReply(self._me, is_drained=False)
+        return await parts.fronts.answer_front_drained(request)
 
     async def ends(
         self, request: poison_requests.PoisonReport
@@ -534,7 +534,7 @@
             if instance != self._me
             and listing.state is memberships.ListedState.LIVE
         ]
-        kept = any(parts.fronts.keepers for parts in self._services.values())
+        kept = any(parts.fronts.managers for parts in self._services.values())
         return kept and bool(others)
 
     def _follow(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -116,13 +116,16 @@
             instance, request, peering.FORWARD, lambda wire: wire
         )
 
-    async def forward_to_heir(
+    async def forward_to_backup(
         self,
         instance: ids.InstanceId,
         request: requests.Request,
-        bequest: releases.Bequest,
+        bequest: releases.Takeover,
     ) -> outcomes.Outcome:
-        """Has the heir's front run a request; see ``runner.HeirForwarder``."""
+        """Has the heir's front run a request.
+
+        See ``runner.BackupForwarder``.
+        """
         return await self._call(
             instance,
             request,
@@ -169,7 +172,7 @@
     async def await_release(
         self, front: ids.InstanceId, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Asks a front; see ``keeper.ReleaseSource``."""
+        """Asks a front; see ``releases.ReleaseSource``."""
         address = self._addresses.find_peer_address(front)
         if address is None:
             return releases.ReleaseReply([])
@@ -180,8 +183,8 @@
         except peering.PeerUnreachableError:
             return releases.ReleaseReply([])
 
-    async def is_office_over(
-        self, front: ids.InstanceId, query: releases.OfficeQuery
+    async def is_front_drained(
+        self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
         """Asks an earlier front; see ``releases.ReleaseSource``."""
         address = self._addresses.find_peer_address(front)
@@ -193,7 +196,7 @@
             )
         except peering.PeerUnreachableError:
             return False
-        return reply.instance == front and reply.is_over
+        return reply.instance == front and reply.is_drained
 
 
 def _describe_failure(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -50,8 +50,8 @@
         """Waits until a server has let go of slices."""
 
     async def office(
-        self, request: releases.OfficeQuery
-    ) -> releases.OfficeReply:
+        self, request: releases.FrontDrainedQuery
+    ) -> releases.FrontDrainedReply:
         """Tells whether all is over that this one did as a front."""
 
     async def news(self, request: peering.NewsRequest) -> peering.NewsReply:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peering.py
@@ -39,7 +39,7 @@
     """A request for the heir of a lost server."""
 
     request: requests.WireRequest
-    bequest: releases.Bequest
+    bequest: releases.Takeover
 
 
 class Heartbeat(NamedTuple):
@@ -226,7 +226,9 @@
 )
 """Waits until a server has let go of slices."""
 
-OFFICE = Method("Office", releases.OfficeQuery, releases.OfficeReply)
+OFFICE = Method(
+    "Office", releases.FrontDrainedQuery, releases.FrontDrainedReply
+)
 """Tells whether all is over that an instance did as a server's front."""
 
 NEWS = Method("News", NewsRequest, NewsReply)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/__init__.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/__init__.py
@@ -1,18 +1,21 @@
 """Which backend server owns which slice of a service's keys.
 
-The library is meant to be embedded: it needs a ``bridgecross_log`` service
-and four narrow interfaces that the embedding program implements.
+The library can be embedded: it needs a ``bridgecross_log`` service and four
+narrow interfaces that the embedding program implements.
 
-* ``records``: what coordinators append to the log.
-* ``cell``: the fold of those records, the same for every reader.
-* ``planner``: the fewest moves that restore service and balance.
-* ``coordinator``: claims a service and appends what the planner wants.
-* ``leases``: the lease exchange with a backend server, and when it is over.
-* ``keeper``: keeps the lease of one server and opens its slices to requests.
-* ``fronts``: the keepers of all servers that this instance fronts.
-* ``authority``: how long an instance may act without news from the log.
-* ``releases``: what fronts ask before something changes hands.
-* ``reports``: what the instances tell the coordinator.
+All requests to a backend server pass through one instance, the server's
+*front*. The log says which instance that is.
+
+* ``records``: the records that coordinators append to the log.
+* ``cell``: a service's state, built from those records alike by every reader.
+* ``planner``: computes the fewest moves that restore service and balance.
+* ``coordinator``: claims a service and appends the planner's changes.
+* ``leases``: lease exchanges with a backend server, and when a lease ends.
+* ``lease_manager``: renews one server's lease and opens slices to requests.
+* ``fronts``: the lease managers of all servers that this instance fronts.
+* ``authority``: how long an instance may act without reading the log.
+* ``releases``: queries between fronts before a slice or server changes hands.
+* ``reports``: what the instances report to the coordinator.
 * ``membership``: the instances and servers that the platform lists.
 """
 
@@ -21,7 +24,7 @@
     "cell",
     "coordinator",
     "fronts",
-    "keeper",
+    "lease_manager",
     "leases",
     "membership",
     "planner",
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
@@ -21,14 +21,14 @@
     """How long something of an earlier front may go on without it."""
 
     # The lease that it gave last, or the deadline of a request that it sent.
-    aftermath_ms: int
+    residual_ms: int
     # The difference in rate that two clocks may have.
     clock_drift_ratio: float
     # Whether it is asked what of it goes on. A front that lives knows, and
     # saves waiting for the longest deadline that a caller may name, 30 s by
     # default, in which the keys of a lost server are served by nobody. Not for
     # servers that check fences: what goes on there is their lease.
-    asks_earlier: bool
+    asks_whether_drained: bool
 
 
 class EarlierFrontsPorts(NamedTuple):
@@ -62,7 +62,7 @@
         self._over_at_s: dict[ids.Token, float] = {
             earlier.token: math.inf for earlier in front.earlier
         }
-        self._made_s = ports.clock.monotonic_s()
+        self._created_s = ports.clock.monotonic_s()
 
     @property
     def over_at_s(self) -> float:
@@ -70,7 +70,7 @@
 
         Infinite as long as one of them may still act.
         """
-        return max(self._over_at_s.values(), default=self._made_s)
+        return max(self._over_at_s.values(), default=self._created_s)
 
     async def run(self) -> None:
         """Waits until all is over."""
@@ -88,30 +88,30 @@
         while not await self._is_stopped(earlier):
             await anyio.sleep(_RETRY_S)
         act_ms = self._ports.authority.settings.authority_ms
-        act_ms += self._settings.aftermath_ms
+        act_ms += self._settings.residual_ms
         act_s = act_ms / 1_000 * (1 + self._settings.clock_drift_ratio)
         until_s = clock.monotonic_s() + act_s
         self._over_at_s[earlier.token] = until_s
         while (left_s := until_s - clock.monotonic_s()) > 0:
-            if await self._says_it_is_over(earlier):
+            if await self._reports_drained(earlier):
                 self._over_at_s[earlier.token] = clock.monotonic_s()
                 break
-            asks = self._settings.asks_earlier
+            asks = self._settings.asks_whether_drained
             await anyio.sleep(min(_RETRY_S, left_s) if asks else left_s)
         self._ports.changed.notify()
 
-    async def _says_it_is_over(self, earlier: cells.EarlierFront) -> bool:
+    async def _reports_drained(self, earlier: cells.EarlierFront) -> bool:
         """Returns whether an earlier front has nothing under way any more."""
-        if not self._settings.asks_earlier:
+        if not self._settings.asks_whether_drained:
             return False
-        query = releases.OfficeQuery(
+        query = releases.FrontDrainedQuery(
             self._ports.service,
             self._ports.server,
             earlier.token,
             ids.Offset(self._front.token),
         )
         source = self._ports.releases
-        return await source.is_office_over(earlier.front, query)
+        return await source.is_front_drained(earlier.front, query)
 
     async def _is_stopped(self, earlier: cells.EarlierFront) -> bool:
         """Returns whether an earlier front cannot renew its authority."""
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
@@ -40,7 +40,7 @@
         self._ports = ports
         # Slices that every earlier owner has let go of, and of which token.
         self._freed: dict[ids.SliceIndex, ids.Token] = {}
-        self._let_go_by: collections.defaultdict[
+        self._released_by: collections.defaultdict[
             leases.SliceGrant, set[ids.ServerId]
         ] = collections.defaultdict(set)
         self._asking: set[ids.ServerId] = set()
@@ -74,9 +74,9 @@
             return set()
         state = self._ports.cell.slices[index]
         grant = leases.SliceGrant(index, state.token)
-        return set(state.prior) - self._let_go_by.get(grant, set())
+        return set(state.prior) - self._released_by.get(grant, set())
 
-    def _list_wanted(self, owner: ids.ServerId) -> list[leases.SliceGrant]:
+    def _list_unreleased(self, owner: ids.ServerId) -> list[leases.SliceGrant]:
         """Returns the slices that an earlier owner must let go of."""
         cell = self._ports.cell
         return [
@@ -88,7 +88,7 @@
     async def _ask(self, owner: ids.ServerId) -> None:
         """Asks the front of an earlier owner until all is let go of."""
         try:
-            while wanted := self._list_wanted(owner):
+            while wanted := self._list_unreleased(owner):
                 released = await self._ask_once(owner, wanted)
                 self._note_released(owner, wanted, released)
                 if not released:
@@ -119,8 +119,8 @@
             state = self._ports.cell.slices[grant.slice]
             if grant.slice not in released or state.token != grant.token:
                 continue
-            self._let_go_by[grant].add(owner)
-            if self._let_go_by[grant].issuperset(state.prior):
+            self._released_by[grant].add(owner)
+            if self._released_by[grant].issuperset(state.prior):
                 self._freed[grant.slice] = grant.token
-                del self._let_go_by[grant]
+                del self._released_by[grant]
         self._ports.changed.notify()
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/cell.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/cell.py
@@ -45,7 +45,7 @@
     front: ids.InstanceId
     token: ids.Token
     witnesses: tuple[ids.InstanceId, ...]
-    heir: ids.ServerId
+    backup: ids.ServerId
     earlier: tuple[EarlierFront, ...]
 
 
@@ -162,16 +162,16 @@
         self, offset: ids.Offset, assignment: records.Assignment
     ) -> appender.Verdict:
         """Applies a change that builds on the newest record."""
-        reason = self._find_fault(assignment)
+        reason = self._find_violation(assignment)
         if reason:
             return appender.Void(offset, reason)
         for index in assignment.settled:
             self.slices[index] = self.slices[index]._replace(prior=())
-        for server in assignment.seated:
+        for server in assignment.accepted_fronts:
             self.fronts[server] = self.fronts[server]._replace(earlier=())
         for move in assignment.moves:
             for index in move.slices:
-                self._move(index, move.server, ids.Token(offset))
+                self._move_slice(index, move.server, ids.Token(offset))
         for change in assignment.fronts:
             self._change_front(change, ids.Token(offset))
         for server in assignment.retired:
@@ -179,7 +179,7 @@
         self.head = offset
         return appender.Applied(offset)
 
-    def _find_fault(self, assignment: records.Assignment) -> str:
+    def _find_violation(self, assignment: records.Assignment) -> str:
         """Returns the rule that an assignment breaks; empty if none."""
         if assignment.term != self.term:
             return f"is of term {assignment.term}, not {self.term}"
@@ -189,21 +189,23 @@
         indices += assignment.settled
         if any(not 0 <= index < len(self.slices) for index in indices):
             return "names a slice that does not exist"
-        if any(server not in self.fronts for server in assignment.seated):
+        if any(
+            server not in self.fronts for server in assignment.accepted_fronts
+        ):
             return "seats the front of a server that has none"
         holders = self.list_holders() if assignment.retired else set()
         if holders.intersection(assignment.retired):
             return "retires a server that may hold a slice"
         return ""
 
-    def _move(
+    def _move_slice(
         self, index: ids.SliceIndex, server: ids.ServerId, token: ids.Token
     ) -> None:
         """Gives a slice to a server; earlier owners must let go first."""
         old = self.slices[index]
         front = self.fronts.get(old.server)
-        heir = front.heir if front else NO_SERVER
-        prior = {*old.prior, old.server, heir} - {server, NO_SERVER}
+        backup = front.backup if front else NO_SERVER
+        prior = {*old.prior, old.server, backup} - {server, NO_SERVER}
         self.slices[index] = SliceState(server, token, tuple(sorted(prior)))
         self._owned.get(old.server, set()).discard(index)
         self._index_owner(index, server)
@@ -223,20 +225,20 @@
             replaced = EarlierFront(old.front, old.token, old.witnesses)
             earlier = (*old.earlier, replaced)
         self.fronts[change.server] = FrontState(
-            change.front, token, change.witnesses, change.heir, earlier
+            change.front, token, change.witnesses, change.backup, earlier
         )
-        if old is not None and old.front != change.front and old.heir:
-            self._take_back(change.server, old.heir, token)
+        if old is not None and old.front != change.front and old.backup:
+            self._reassign_after_backup(change.server, old.backup, token)
 
-    def _take_back(
-        self, server: ids.ServerId, heir: ids.ServerId, token: ids.Token
+    def _reassign_after_backup(
+        self, server: ids.ServerId, backup: ids.ServerId, token: ids.Token
     ) -> None:
-        """Makes a server follow its heir, which may have acted for it.
+        """Makes a server follow its backup, which may have acted for it.
 
-        The replaced front may have handed slices to the heir. So the server
-        owns them anew, under a higher token than the heir's, and its new
-        front has to ask the heir first.
+        The replaced front may have handed slices to the backup. So the server
+        owns them anew, under a higher token than the backup's, and its new
+        front has to ask the backup first.
         """
         for index in self.list_slices_of(server):
-            prior = {*self.slices[index].prior, heir}
+            prior = {*self.slices[index].prior, backup}
             self.slices[index] = SliceState(server, token, tuple(sorted(prior)))
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
@@ -20,7 +20,7 @@
 from bridgecross_log import appender as appenders
 from bridgecross_ownership import authority as authorities
 from bridgecross_ownership import cell as cells
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership as memberships
 from bridgecross_ownership import planner
@@ -31,7 +31,7 @@
 
 _EVICTION_WINDOW_S = 10.0
 _SETTLE_INTERVAL_S = 2.0
-_FIRST_REPORTS_S = 3.0
+_FIRST_REPORTS_WAIT_S = 3.0
 _MINUTE_S = 60.0
 
 
@@ -86,7 +86,7 @@
     """A server that was taken out on the word of one instance."""
 
     server: ids.ServerId
-    accuser: ids.InstanceId
+    reporter: ids.InstanceId
     at_s: float
 
 
@@ -106,9 +106,9 @@
         self._ports = ports
         self._log = loguru.logger.bind(service=ports.cell.service)
         self._evictions: list[_Eviction] = []
-        self._disputed: set[planner.UnfitFront] = set()
+        self._unfit_fronts: set[planner.UnfitFront] = set()
         self._moved_at_s: list[float] = []
-        self._settled_at_s = -math.inf
+        self._applied_at_s = -math.inf
         self._first_plan_at_s: float | None = None
         self._unclaimed_since_s = ports.clock.monotonic_s()
         self._log_since_s = math.inf
@@ -220,17 +220,19 @@
     async def _coordinate(self) -> None:
         """Plans once and appends the changes."""
         ports = self._ports
-        view = self._view()
+        view = self._build_view()
         if self._awaits_first_reports(view):
-            view = view._replace(servers=_hold_all(view.servers))
+            view = view._replace(servers=_mark_all_held(view.servers))
         plan = planner.plan(view, self._planner_settings())
         settled = self._list_settled()
-        seated = self._list_seated()
-        due = ports.clock.monotonic_s() - self._settled_at_s
-        settle_only = bool(settled or seated) and due >= _SETTLE_INTERVAL_S
+        accepted_fronts = self._list_accepted_fronts()
+        due = ports.clock.monotonic_s() - self._applied_at_s
+        settle_only = (
+            bool(settled or accepted_fronts) and due >= _SETTLE_INTERVAL_S
+        )
         if plan.is_empty and not settle_only:
             return
-        assignment = self._build_assignment(plan, settled, seated)
+        assignment = self._build_assignment(plan, settled, accepted_fronts)
         outcome = await ports.appender.append(
             records.ASSIGNMENT_KIND, records.ASSIGNMENTS.encode(assignment)
         )
@@ -251,14 +253,14 @@
         if self._first_plan_at_s is None:
             self._first_plan_at_s = now_s
         waited_s = now_s - self._first_plan_at_s
-        unheard = planner.Standing.HELD in view.servers.values()
-        return unheard and waited_s < _FIRST_REPORTS_S
+        unheard = planner.Eligibility.HELD in view.servers.values()
+        return unheard and waited_s < _FIRST_REPORTS_WAIT_S
 
     def _build_assignment(
         self,
         plan: planner.Plan,
         settled: list[ids.SliceIndex],
-        seated: list[ids.ServerId],
+        accepted_fronts: list[ids.ServerId],
     ) -> records.Assignment:
         """Returns the record for a plan, built on the newest one."""
         cell = self._ports.cell
@@ -275,7 +277,7 @@
             ),
             fronts=tuple(plan.fronts),
             settled=tuple(settled),
-            seated=tuple(seated),
+            accepted_fronts=tuple(accepted_fronts),
             retired=tuple(plan.retired),
             reason=f"restore {plan.restored}, balance {plan.balanced}",
         )
@@ -285,7 +287,7 @@
     ) -> None:
         """Counts the churn and writes the time line."""
         now_s = self._ports.clock.monotonic_s()
-        self._settled_at_s = now_s
+        self._applied_at_s = now_s
         self._moved_at_s += [now_s] * plan.balanced
         if plan.moves:
             self._ports.ring.add(
@@ -327,20 +329,20 @@
             if slices[grant.slice].token == grant.token
         }
 
-    def _list_seated(self) -> list[ids.ServerId]:
+    def _list_accepted_fronts(self) -> list[ids.ServerId]:
         """Returns the servers whose earlier fronts may be forgotten."""
         book = self._ports.book
         return [
             server
             for server, state in self._ports.cell.fronts.items()
             if state.earlier
-            and book.is_seated(server, state.front, state.token)
+            and book.is_front_accepted(server, state.front, state.token)
         ]
 
-    def _view(self) -> planner.PlannerView:
+    def _build_view(self) -> planner.PlannerView:
         """Returns what is known of servers, instances and load."""
         ports = self._ports
-        standings = self._judge_servers()
+        eligibilities = self._assess_servers()
         listed = ports.membership.list_servers(ports.cell.service)
         domains: dict[str, str] = {
             name: listing.failure_domain
@@ -351,12 +353,12 @@
         }
         return planner.PlannerView(
             cell=ports.cell,
-            servers=standings,
+            servers=eligibilities,
             instances=self._list_instances(),
             domains=domains,
             loads=ports.book.list_loads(),
-            unfit_fronts=self._disputed,
-            bequeathed=self._list_current(ports.book.list_bequeathed()),
+            unfit_fronts=self._unfit_fronts,
+            handed_over=self._list_current(ports.book.list_handed_over()),
         )
 
     def _list_instances(self) -> list[ids.InstanceId]:
@@ -370,40 +372,40 @@
             live.discard(self._lost_coordinator)
         return sorted(i for i in live if not ports.peers.is_leaving(i))
 
-    def _judge_servers(self) -> dict[ids.ServerId, planner.Standing]:
-        """Returns the standing of each listed server."""
+    def _assess_servers(self) -> dict[ids.ServerId, planner.Eligibility]:
+        """Returns the eligibility of each listed server."""
         listed = self._ports.membership.list_servers(self._ports.cell.service)
-        self._disputed = set()
-        standings = {}
+        self._unfit_fronts = set()
+        eligibilities = {}
         for server, listing in listed.items():
             leaving = listing.state is memberships.ListedState.LEAVING
-            standings[server] = (
-                planner.Standing.UNUSABLE
+            eligibilities[server] = (
+                planner.Eligibility.UNUSABLE
                 if leaving
-                else self._judge_server(server, len(listed))
+                else self._assess_server(server, len(listed))
             )
-        return standings
+        return eligibilities
 
-    def _judge_server(
+    def _assess_server(
         self, server: ids.ServerId, server_count: int
-    ) -> planner.Standing:
-        """Returns the standing of a server that is not leaving."""
+    ) -> planner.Eligibility:
+        """Returns the eligibility of a server that is not leaving."""
         ports = self._ports
         state = ports.cell.fronts.get(server)
         if state is None:
-            return planner.Standing.HELD
+            return planner.Eligibility.HELD
         health = ports.book.find_health(server, state.front)
-        if health is keeping.ServerHealth.UP:
-            return planner.Standing.USABLE
-        if health is keeping.ServerHealth.DRAINING:
-            return planner.Standing.UNUSABLE
-        if health is keeping.ServerHealth.DOWN:
-            return self._judge_down(server, state.front, server_count)
-        return planner.Standing.HELD
-
-    def _judge_down(
+        if health is lease_manager.ServerHealth.UP:
+            return planner.Eligibility.USABLE
+        if health is lease_manager.ServerHealth.DRAINING:
+            return planner.Eligibility.UNUSABLE
+        if health is lease_manager.ServerHealth.DOWN:
+            return self._assess_down(server, state.front, server_count)
+        return planner.Eligibility.HELD
+
+    def _assess_down(
         self, server: ids.ServerId, front: ids.InstanceId, server_count: int
-    ) -> planner.Standing:
+    ) -> planner.Eligibility:
         """Decides whether a server that a front finds down is evicted.
 
         One instance may be cut off and find many servers down, so on its
@@ -411,26 +413,26 @@
         planner gives the server another front, whose word then counts too.
         """
         ports = self._ports
-        if len(ports.book.list_accusers(server)) > 1:
-            return planner.Standing.UNUSABLE
+        if len(ports.book.list_down_reporters(server)) > 1:
+            return planner.Eligibility.UNUSABLE
         now_s = ports.clock.monotonic_s()
         self._evictions = [
             eviction
             for eviction in self._evictions
             if eviction.at_s >= now_s - _EVICTION_WINDOW_S
         ]
-        evicted = {e.server for e in self._evictions if e.accuser == front}
+        evicted = {e.server for e in self._evictions if e.reporter == front}
         limit = max(1, int(server_count * self.settings.eviction_limit_ratio))
         if server not in evicted and len(evicted) >= limit:
-            self._disputed.add(planner.UnfitFront(server, front))
-            return planner.Standing.HELD
+            self._unfit_fronts.add(planner.UnfitFront(server, front))
+            return planner.Eligibility.HELD
         if server not in evicted:
             self._evictions.append(_Eviction(server, front, now_s))
-        return planner.Standing.UNUSABLE
+        return planner.Eligibility.UNUSABLE
 
 
-def _hold_all(
-    servers: dict[ids.ServerId, planner.Standing],
-) -> dict[ids.ServerId, planner.Standing]:
+def _mark_all_held(
+    servers: dict[ids.ServerId, planner.Eligibility],
+) -> dict[ids.ServerId, planner.Eligibility]:
     """Returns the same servers, none of which gets a slice yet."""
-    return dict.fromkeys(servers, planner.Standing.HELD)
+    return dict.fromkeys(servers, planner.Eligibility.HELD)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/keeper.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
@@ -1,7 +1,7 @@
 """Keeps the lease of one server and opens its slices to requests.
 
 All requests to a server pass through one instance, its front. The front's
-keeper is one task: it renews the lease, adds a slice to the grants once every
+manager is one task: it renews the lease, adds a slice to the grants once every
 earlier owner has let go of it, and answers other fronts that ask whether this
 server has let go of a slice.
 """
@@ -40,8 +40,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class KeeperSettings:
-    """What a keeper needs to know of its service."""
+class LeaseManagerSettings:
+    """What a manager needs to know of its service."""
 
     # Whether the server refuses a wrong token or a lease that is over.
     checks_fences: bool
@@ -57,8 +57,8 @@
     clock_drift_ratio: float
 
 
-class KeeperPorts(NamedTuple):
-    """What a keeper works with."""
+class LeaseManagerPorts(NamedTuple):
+    """What a manager works with."""
 
     me: ids.InstanceId
     cell: cells.Cell
@@ -70,15 +70,15 @@
     ring: rings.Ring
 
 
-class Keeper:
+class LeaseManager:
     """The front's task for one backend server."""
 
     def __init__(
         self,
         server: ids.ServerId,
         front: cells.FrontState,
-        settings: KeeperSettings,
-        ports: KeeperPorts,
+        settings: LeaseManagerSettings,
+        ports: LeaseManagerPorts,
     ) -> None:
         """Holds no lease yet.
 
@@ -86,7 +86,7 @@
             server: The backend server.
             front: This instance's office as the server's front.
             settings: The service's settings, replaced as they change.
-            ports: What the keeper works with.
+            ports: What the manager works with.
         """
         self.server = server
         self.front = front
@@ -98,10 +98,10 @@
         self._log = loguru.logger.bind(server=server)
         # What the server has accepted, with the tokens that it sees.
         self._granted: dict[ids.SliceIndex, ids.Token] = {}
-        # Slices of this server that its heir serves, and of which token.
-        self._bequeathed: dict[ids.SliceIndex, ids.Token] = {}
-        # Slices of lost servers that this one serves as heir.
-        self._bequests: dict[ids.SliceIndex, releases.Bequest] = {}
+        # Slices of this server that its backup serves, and of which token.
+        self._handed_over: dict[ids.SliceIndex, ids.Token] = {}
+        # Slices of lost servers that this one serves as backup.
+        self._takeovers: dict[ids.SliceIndex, releases.Takeover] = {}
         self._busy: collections.Counter[ids.SliceIndex] = collections.Counter()
         self._release_waiters = 0
         # When requests that were never answered have passed their deadline.
@@ -115,64 +115,64 @@
                 ports.cell, ports.releases, self.changed
             ),
         )
-        self._earlier = self._expect_earlier(front)
+        self._earlier = self._make_earlier_fronts(front)
         self._term = leases.LeaseTerm(settings.clock_drift_ratio)
         # The slices that the server may hold; None while nothing is known.
         self._maybe_held: set[ids.SliceIndex] | None = (
             None if front.earlier else set()
         )
         # The token of this office that the server has accepted.
-        self._seated = ids.NO_TOKEN
+        self._accepted_front_token = ids.NO_TOKEN
 
     def find_grant_token(self, index: ids.SliceIndex) -> ids.Token | None:
         """Returns the token under which this server should serve a slice.
 
         Returns:
-            None if it should not: another server owns it, or an heir does.
+            None if it should not: another server owns it, or a backup does.
         """
         if not self._is_front():
             return None
         state = self._ports.cell.slices[index]
-        if self._has_inherited(index):
-            return leases.make_grant_token(state.token, is_heir=True)
+        if self._has_taken_over(index):
+            return leases.make_grant_token(state.token, is_backup=True)
         if state.server != self.server:
             return None
-        if self._bequeathed.get(index) == state.token:
+        if self._handed_over.get(index) == state.token:
             return None
-        return leases.make_grant_token(state.token, is_heir=False)
+        return leases.make_grant_token(state.token, is_backup=False)
 
-    def bequeath(self, index: ids.SliceIndex) -> releases.Bequest | None:
-        """Hands a slice of the lost server to its heir.
+    def hand_over(self, index: ids.SliceIndex) -> releases.Takeover | None:
+        """Hands a slice of the lost server to its backup.
 
         That takes a lost server that certainly cannot act any more, and a
         log that is silent, so that no assignment can be made. From then on
         this server does not get the slice back until the log moves it.
 
         Returns:
-            What the heir's front needs to know, or None if it cannot be.
+            What the backup's front needs to know, or None if it cannot be.
         """
         state = self._ports.cell.slices[index]
         if state.server != self.server or not self._is_front():
             return None
-        if self._bequeathed.get(index) != state.token:
-            if not self._may_bequeath(index):
+        if self._handed_over.get(index) != state.token:
+            if not self._may_hand_over(index):
                 return None
-            self._bequeathed[index] = state.token
-        return releases.Bequest(
+            self._handed_over[index] = state.token
+        return releases.Takeover(
             index, self.server, state.token, self.front.token
         )
 
-    def inherit(self, bequest: releases.Bequest) -> bool:
+    def take_over(self, takeover: releases.Takeover) -> bool:
         """Takes a slice of a lost server over; returns whether it may."""
-        self._bequests[bequest.slice] = bequest
+        self._takeovers[takeover.slice] = takeover
         self.changed.notify()
-        return self._has_inherited(bequest.slice)
+        return self._has_taken_over(takeover.slice)
 
-    def list_bequeathed(self) -> list[leases.SliceGrant]:
-        """Returns the slices that the heir serves, with the log's tokens."""
+    def list_handed_over(self) -> list[leases.SliceGrant]:
+        """Returns the slices that the backup serves, with the log's tokens."""
         return [
             leases.SliceGrant(index, token)
-            for index, token in self._bequeathed.items()
+            for index, token in self._handed_over.items()
             if self._ports.cell.slices[index].token == token
             and self._ports.cell.slices[index].server == self.server
         ]
@@ -190,20 +190,20 @@
             return False
         if not self.settings.checks_fences:
             return True
-        if self._seated != self.front.token:
+        if self._accepted_front_token != self.front.token:
             return False
         now_s = self._ports.clock.monotonic_s()
         return now_s < self._term.confirmed_until_s
 
-    def reseat(self, front: cells.FrontState) -> None:
+    def replace_front(self, front: cells.FrontState) -> None:
         """Takes a newer office over, such as with other witnesses."""
         self.front = front
         self._sent_grants = None
         self.changed.notify()
 
-    def is_seated(self) -> bool:
+    def is_front_accepted(self) -> bool:
         """Returns whether the server cannot act for an earlier front."""
-        if self._seated != self.front.token:
+        if self._accepted_front_token != self.front.token:
             return False
         if self.settings.checks_fences:
             return True
@@ -222,18 +222,18 @@
             lambda: (
                 self.is_open(index, token)
                 or self.find_grant_token(index) != token
-                or self._may_bequeath(index)
+                or self._may_hand_over(index)
             ),
             timeout_s,
         )
         return self.is_open(index, token)
 
-    def enter(self, index: ids.SliceIndex) -> None:
+    def begin_request(self, index: ids.SliceIndex) -> None:
         """Notes that a request of a slice is being sent to the server."""
         self._busy[index] += 1
         self.load[index] += 1
 
-    def leave(self, index: ids.SliceIndex, over_at_s: float) -> None:
+    def end_request(self, index: ids.SliceIndex, over_at_s: float) -> None:
         """Notes that a request is over for the front.
 
         Args:
@@ -283,7 +283,7 @@
             released[:] = [
                 wanted.slice
                 for wanted in query.wanted
-                if self._has_let_go(wanted)
+                if self._has_released(wanted)
             ]
             return bool(released)
 
@@ -309,12 +309,12 @@
         if not self._may_front():
             await anyio.sleep(self.settings.renew_interval_ms / 1_000)
             return
-        grants = self._list_wanted()
+        grants = self._list_grantable()
         await self._exchange(grants)
         is_up = self.health is not ServerHealth.DOWN
         if is_up and not self.settings.checks_fences:
             self._granted = {grant.slice: grant.token for grant in grants}
-        self._note_lapse()
+        self._record_lapse()
         self.changed.notify()
 
     async def _sleep(self) -> None:
@@ -322,13 +322,13 @@
         interval_s = self.settings.renew_interval_ms / 1_000
         await self.changed.wait_until(
             lambda: (
-                self._list_wanted() != self._sent_grants
+                self._list_grantable() != self._sent_grants
                 or (self._is_front() and self._prior.has_unasked())
             ),
             interval_s,
         )
 
-    def _expect_earlier(
+    def _make_earlier_fronts(
         self, front: cells.FrontState
     ) -> _earlier_fronts.EarlierFronts:
         """Returns what waits for the earlier fronts of an office."""
@@ -340,7 +340,7 @@
                 if settings.checks_fences
                 else settings.max_deadline_ms,
                 settings.clock_drift_ratio,
-                asks_earlier=not settings.checks_fences,
+                asks_whether_drained=not settings.checks_fences,
             ),
             _earlier_fronts.EarlierFrontsPorts(
                 self._ports.cell.service,
@@ -357,34 +357,35 @@
         """Returns whether this is still the newest front of the server."""
         return self._ports.cell.fronts.get(self.server) == self.front
 
-    def _has_inherited(self, index: ids.SliceIndex) -> bool:
-        """Returns whether a bequest of a slice to this server is in force."""
-        bequest = self._bequests.get(index)
-        if bequest is None:
+    def _has_taken_over(self, index: ids.SliceIndex) -> bool:
+        """Returns whether a takeover of a slice to this server is in force."""
+        takeover = self._takeovers.get(index)
+        if takeover is None:
             return False
         state = self._ports.cell.slices[index]
-        front = self._ports.cell.fronts.get(bequest.owner)
+        front = self._ports.cell.fronts.get(takeover.owner)
         return (
             front is not None
-            and (state.server, state.token) == (bequest.owner, bequest.token)
-            and (front.token, front.heir) == (bequest.front_token, self.server)
+            and (state.server, state.token) == (takeover.owner, takeover.token)
+            and (front.token, front.backup)
+            == (takeover.front_token, self.server)
         )
 
-    def _may_bequeath(self, index: ids.SliceIndex) -> bool:
-        """Returns whether the heir may act for the server now."""
+    def _may_hand_over(self, index: ids.SliceIndex) -> bool:
+        """Returns whether the backup may act for the server now."""
         state = self._ports.cell.slices[index]
         return (
             self.health is ServerHealth.DOWN
-            and bool(self.front.heir)
+            and bool(self.front.backup)
             and state.server == self.server
             and self._prior.is_free(index)
             and not self._ports.authority.has_log()
             and self._may_front()
             and self._is_front()
-            and self._is_over(index)
+            and self._cannot_act(index)
         )
 
-    def _is_over(self, index: ids.SliceIndex) -> bool:
+    def _cannot_act(self, index: ids.SliceIndex) -> bool:
         """Returns whether the server, not renewed, can act no more."""
         if self._busy[index]:
             return False
@@ -399,16 +400,16 @@
         """Returns whether this instance's news is fresh enough to act."""
         return self._ports.authority.may_front(self.front.witnesses)
 
-    def _list_wanted(self) -> list[leases.SliceGrant]:
+    def _list_grantable(self) -> list[leases.SliceGrant]:
         """Returns the slices to grant: owned, and free of earlier owners."""
         cell = self._ports.cell
         if not self._is_front():
             return []
         wanted = []
-        inherited = [i for i in self._bequests if self._has_inherited(i)]
-        for index in [*cell.list_slices_of(self.server), *inherited]:
+        taken_over = [i for i in self._takeovers if self._has_taken_over(i)]
+        for index in [*cell.list_slices_of(self.server), *taken_over]:
             token = self.find_grant_token(index)
-            is_free = index in inherited or self._prior.is_free(index)
+            is_free = index in taken_over or self._prior.is_free(index)
             if token is not None and is_free:
                 wanted.append(leases.SliceGrant(index, token))
         return wanted
@@ -437,22 +438,22 @@
                     self.server, request
                 )
         except (leases.ServerUnreachableError, TimeoutError) as error:
-            await self._note_miss(repr(error), sent_s)
+            await self._record_miss(repr(error), sent_s)
             return
         received_s = self._ports.clock.monotonic_s()
         if not reply.accepted:
             self._log.info("lease refused: {}", reply.reason)
-            await self._note_miss(reply.reason, sent_s)
+            await self._record_miss(reply.reason, sent_s)
             return
-        self._seated = ids.Token(request.front_token)
+        self._accepted_front_token = ids.Token(request.front_token)
         self._term.end_exchange(
             echo, reply, sent_s, received_s, settings.lease_ms
         )
-        self._note_reply(reply, grants)
+        self._record_reply(reply, grants)
         if echo is None or echo.incarnation != reply.clock.incarnation:
             self._sent_grants = None
 
-    def _note_reply(
+    def _record_reply(
         self, reply: leases.LeaseReply, grants: list[leases.SliceGrant]
     ) -> None:
         """Takes an accepting reply in."""
@@ -473,7 +474,7 @@
             )
         self.health = health
 
-    async def _note_miss(self, reason: str, sent_s: float) -> None:
+    async def _record_miss(self, reason: str, sent_s: float) -> None:
         """Counts a failed exchange; after several the server is down."""
         self._misses += 1
         if self._misses >= self.settings.renew_misses:
@@ -488,7 +489,7 @@
             max(self.settings.renew_interval_ms / 1_000 - spent_s, 0.0)
         )
 
-    def _note_lapse(self) -> None:
+    def _record_lapse(self) -> None:
         """Notes once that a server which is down holds no lease any more."""
         lapsed = self._ports.clock.monotonic_s() >= self._term.over_at_s
         if self.health is ServerHealth.DOWN and lapsed and self._granted:
@@ -499,14 +500,14 @@
                 )
             )
 
-    def _has_let_go(self, wanted: leases.SliceGrant) -> bool:
+    def _has_released(self, wanted: leases.SliceGrant) -> bool:
         """Returns whether the server cannot act on a slice any more."""
         state = self._ports.cell.slices[wanted.slice]
         if state.token < wanted.token or state.server == self.server:
             return False
-        if not self._is_front() or self._has_inherited(wanted.slice):
+        if not self._is_front() or self._has_taken_over(wanted.slice):
             return False
-        if self._is_over(wanted.slice):
+        if self._cannot_act(wanted.slice):
             return True
         return (
             self.settings.checks_fences
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
@@ -24,13 +24,13 @@
     reading_ms: float
 
 
-def make_grant_token(token: ids.Token, *, is_heir: bool) -> ids.Token:
+def make_grant_token(token: ids.Token, *, is_backup: bool) -> ids.Token:
     """Returns the token that a server sees for a token of the log.
 
-    An heir acts under a token that is higher than the owner's and lower than
+    a backup acts under a token that is higher than the owner's and lower than
     that of any later assignment.
     """
-    return ids.Token(2 * token + is_heir)
+    return ids.Token(2 * token + is_backup)
 
 
 class SliceGrant(NamedTuple):
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
@@ -15,12 +15,12 @@
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import records
 
-_IDLE_SHARE = 0.1
-_LEAST_WEIGHT = 1.0
-_WITNESSES = 2
+_IDLE_WEIGHT_RATIO = 0.1
+_MIN_IDLE_WEIGHT = 1.0
+_WITNESS_COUNT = 2
 
 
-class Standing(enum.Enum):
+class Eligibility(enum.Enum):
     """Whether a server may own slices."""
 
     USABLE = "usable"
@@ -52,16 +52,16 @@
 
     ``domains`` are the failure domains of servers and instances by name.
     ``loads`` are requests a second by slice; slices without load may be
-    missing. ``bequeathed`` are slices that an heir serves for their owner.
+    missing. ``handed_over`` are slices that a backup serves for their owner.
     """
 
     cell: cells.Cell
-    servers: dict[ids.ServerId, Standing]
+    servers: dict[ids.ServerId, Eligibility]
     instances: list[ids.InstanceId]
     domains: dict[str, str]
     loads: dict[ids.SliceIndex, float]
     unfit_fronts: set[UnfitFront]
-    bequeathed: set[ids.SliceIndex]
+    handed_over: set[ids.SliceIndex]
 
 
 class Plan(NamedTuple):
@@ -88,11 +88,13 @@
         count = max(len(view.cell.slices), 1)
         # A slice without load still weighs something, so that idle slices
         # spread as well, and so that a few requests are no reason to move.
-        self._idle_weight = max(total / count * _IDLE_SHARE, _LEAST_WEIGHT)
+        self._idle_weight = max(
+            total / count * _IDLE_WEIGHT_RATIO, _MIN_IDLE_WEIGHT
+        )
         self.usable = [
             server
-            for server, standing in sorted(view.servers.items())
-            if standing is Standing.USABLE
+            for server, eligibility in sorted(view.servers.items())
+            if eligibility is Eligibility.USABLE
         ]
         self.weights = {
             server: sum(
@@ -124,7 +126,7 @@
         moves |= _rebalance(view, settings, balance, moves)
     return Plan(
         moves=moves,
-        fronts=_Fronting(view).plan(),
+        fronts=_FrontAssigner(view).plan(),
         retired=_list_retired(view),
         restored=restored,
         balanced=len(moves) - restored,
@@ -151,13 +153,13 @@
 
 def _list_orphans(view: PlannerView) -> Iterable[ids.SliceIndex]:
     """Yields the slices whose owner is none, lost or leaving."""
-    keeping = {
+    kept_servers = {
         server
-        for server, standing in view.servers.items()
-        if standing is not Standing.UNUSABLE
+        for server, eligibility in view.servers.items()
+        if eligibility is not Eligibility.UNUSABLE
     }
     for index, state in enumerate(view.cell.slices):
-        if state.server not in keeping or index in view.bequeathed:
+        if state.server not in kept_servers or index in view.handed_over:
             yield ids.SliceIndex(index)
 
 
@@ -206,17 +208,17 @@
     """Returns whether a slice would be let go of at once.
 
     It would not while an earlier owner may hold it, or while the server or
-    its heir may obey an earlier front: balance is not worth that wait.
+    its backup may obey an earlier front: balance is not worth that wait.
     """
     state = cell.slices[index]
     front = cell.fronts.get(state.server)
     if state.prior or front is None:
         return False
-    heirs_front = cell.fronts.get(front.heir)
-    return not front.earlier and not (heirs_front and heirs_front.earlier)
+    backup_front = cell.fronts.get(front.backup)
+    return not front.earlier and not (backup_front and backup_front.earlier)
 
 
-class _Fronting:
+class _FrontAssigner:
     """Chooses fronts and witnesses while a plan is made.
 
     A front is in another failure domain than its server, and its witnesses
@@ -233,8 +235,8 @@
         self._counts = dict.fromkeys(view.instances, 0)
         self._usable = sorted(
             server
-            for server, standing in view.servers.items()
-            if standing is Standing.USABLE
+            for server, eligibility in view.servers.items()
+            if eligibility is Eligibility.USABLE
         )
         self._usable_set = set(self._usable)
 
@@ -251,7 +253,7 @@
                 server,
                 front,
                 self._choose_witnesses(server, front),
-                self._choose_heir(server),
+                self._choose_backup(server),
             )
             for server, front in fronts.items()
         ]
@@ -278,10 +280,12 @@
             for instance in ranked
             if UnfitFront(server, instance) not in self._view.unfit_fronts
         ] or ranked
-        roomy = [i for i in fit if self._counts[i] < self._limit] or fit
-        apart = [i for i in roomy if self._is_apart(i, server)] or roomy
-        self._counts[apart[0]] += 1
-        return apart[0]
+        with_room = [i for i in fit if self._counts[i] < self._limit] or fit
+        separate = [
+            i for i in with_room if self._is_in_other_domain(i, server)
+        ] or with_room
+        self._counts[separate[0]] += 1
+        return separate[0]
 
     def _choose_witnesses(
         self, server: ids.ServerId, front: ids.InstanceId
@@ -293,29 +297,29 @@
             for witness in (state.witnesses if state else ())
             if witness in self._counts and witness != front
         ]
-        if len(kept) >= _WITNESSES:
-            return tuple(sorted(kept[:_WITNESSES]))
+        if len(kept) >= _WITNESS_COUNT:
+            return tuple(sorted(kept[:_WITNESS_COUNT]))
         others = [
             instance
             for instance in self._rank(f"witness of {server}")
             if instance != front and instance not in kept
         ]
-        others.sort(key=lambda i: not self._is_apart(i, front))
-        chosen = [*kept, *others][:_WITNESSES]
+        others.sort(key=lambda i: not self._is_in_other_domain(i, front))
+        chosen = [*kept, *others][:_WITNESS_COUNT]
         return tuple(sorted(chosen))
 
-    def _choose_heir(self, server: ids.ServerId) -> ids.ServerId:
+    def _choose_backup(self, server: ids.ServerId) -> ids.ServerId:
         """Returns a usable server to act for one lost while the log is down.
 
-        The present heir is kept while it is usable. A new one is found by
+        The present backup is kept while it is usable. A new one is found by
         walking on from a place in the list that the server's hash gives, so
         that a plan does not look at every pair of servers.
         """
         state = self._view.cell.fronts.get(server)
         if state is not None and (
-            state.heir in self._usable_set or not self._usable
+            state.backup in self._usable_set or not self._usable
         ):
-            return state.heir
+            return state.backup
         start = hashing.hash_key(f"heir of {server}")
         count = len(self._usable)
         fallback = cells.NO_SERVER
@@ -323,7 +327,7 @@
             other = self._usable[(start + step) % count]
             if other == server:
                 continue
-            if self._is_apart(other, server):
+            if self._is_in_other_domain(other, server):
                 return other
             fallback = fallback or other
         return fallback
@@ -333,7 +337,7 @@
         names = hashing.rank_by_rendezvous(subject, self._view.instances)
         return [ids.InstanceId(name) for name in names]
 
-    def _is_apart(self, left: str, right: str) -> bool:
+    def _is_in_other_domain(self, left: str, right: str) -> bool:
         """Returns whether two names are in different failure domains."""
         domains = self._view.domains
         return domains.get(left) != domains.get(right)
@@ -343,10 +347,10 @@
         state = self._view.cell.fronts.get(wanted.server)
         if state is None:
             return True
-        return (state.front, state.witnesses, state.heir) != (
+        return (state.front, state.witnesses, state.backup) != (
             wanted.front,
             wanted.witnesses,
-            wanted.heir,
+            wanted.backup,
         )
 
 
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/records.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/records.py
@@ -1,8 +1,9 @@
-"""What coordinators append to the log about a service.
+"""The records that coordinators append to the log about a service.
 
-A service is one *cell*: a chain of claims and assignments in which each
-record names the one that it builds on. A record that names another base is
-void for every reader, so a paused coordinator that wakes changes nothing.
+The state of one service is a *cell*. It is built from a chain of claims and
+assignments, in which each record names the one that it builds on. A record
+that names another base is void for every reader, so a coordinator that resumes
+after a pause, with an old view, changes nothing.
 """
 
 from typing import NamedTuple
@@ -18,10 +19,10 @@
 
 
 class Claim(NamedTuple):
-    """An instance makes itself the coordinator of a service.
+    """Makes an instance the coordinator of a service.
 
     ``supersedes`` is the term that the claim ends, ``NO_OFFSET`` for the
-    first. ``slice_count`` counts in the first claim only.
+    first claim. ``slice_count`` is used in the first claim only.
     """
 
     service: ids.ServiceName
@@ -31,34 +32,35 @@
 
 
 class ServerSlices(NamedTuple):
-    """Slices that get a new owner."""
+    """Slices that a server becomes the owner of."""
 
     server: ids.ServerId
     slices: tuple[ids.SliceIndex, ...]
 
 
 class ServerFront(NamedTuple):
-    """The instance through which all requests to a server go from now on.
+    """The front of a server: the instance that all its requests pass through.
 
-    While the log is silent, the front may go on as long as one of the
+    While the log cannot be read, the front may continue as long as one of the
     ``witnesses`` confirms that it has read nothing newer. If the server is
-    lost in that time, the front may hand its slices to the ``heir``, another
-    server; empty for none.
+    lost in that time, the front may hand its slices over to the ``backup``,
+    which is another server, or empty for none.
     """
 
     server: ids.ServerId
     front: ids.InstanceId
     witnesses: tuple[ids.InstanceId, ...]
-    heir: ids.ServerId
+    backup: ids.ServerId
 
 
 class Assignment(NamedTuple):
     """A change of owners and fronts.
 
     ``base`` is the offset of the claim or assignment that it builds on.
-    ``settled`` are slices whose earlier owners have certainly let go,
-    ``seated`` are servers that have accepted their newest front and so refuse
-    every earlier one, ``retired`` are servers that need no front any more.
+    ``settled`` are slices that all earlier owners have certainly released,
+    ``accepted_fronts`` are servers that have accepted their newest front and
+    therefore refuse every earlier one, and ``retired`` are servers that no
+    longer need a front.
     """
 
     service: ids.ServiceName
@@ -67,13 +69,13 @@
     moves: tuple[ServerSlices, ...]
     fronts: tuple[ServerFront, ...]
     settled: tuple[ids.SliceIndex, ...]
-    seated: tuple[ids.ServerId, ...]
+    accepted_fronts: tuple[ids.ServerId, ...]
     retired: tuple[ids.ServerId, ...]
     reason: str
 
 
 CLAIMS = codec.Codec(Claim)
-"""The codec of the bodies of claims."""
+"""Encodes and decodes the bodies of claims."""
 
 ASSIGNMENTS = codec.Codec(Assignment)
-"""The codec of the bodies of assignments."""
+"""Encodes and decodes the bodies of assignments."""
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/releases.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/releases.py
@@ -27,7 +27,7 @@
     released: list[ids.SliceIndex]
 
 
-class OfficeQuery(NamedTuple):
+class FrontDrainedQuery(NamedTuple):
     """Asks whether all is over that an instance did as a server's front.
 
     ``front_token`` is that of the office that is meant, and ``head`` the record
@@ -40,21 +40,21 @@
     head: ids.Offset
 
 
-class OfficeReply(NamedTuple):
+class FrontDrainedReply(NamedTuple):
     """Whether nothing of the office is under way or can begin any more.
 
     ``instance`` answers; another run at the same address knows nothing of it.
     """
 
     instance: ids.InstanceId
-    is_over: bool
+    is_drained: bool
 
 
-class Bequest(NamedTuple):
-    """A slice of a lost server, handed to its heir while the log is silent.
+class Takeover(NamedTuple):
+    """A slice of a lost server, handed to its backup while the log is silent.
 
     ``token`` and ``front_token`` are those of the slice and of the lost
-    server's front: the bequest ends with either of them.
+    server's front: the takeover ends with either of them.
     """
 
     slice: ids.SliceIndex
@@ -75,8 +75,8 @@
             What has been let go of; nothing if the front cannot be reached.
         """
 
-    async def is_office_over(
-        self, front: ids.InstanceId, query: OfficeQuery
+    async def is_front_drained(
+        self, front: ids.InstanceId, query: FrontDrainedQuery
     ) -> bool:
         """Returns whether all is certainly over that an earlier front did.
 
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
@@ -1,11 +1,11 @@
-"""What the instances tell the coordinator of a service."""
+"""The reports that instances send to the coordinator of a service."""
 
 import collections
 from typing import NamedTuple
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 
 _LOAD_HALF_LIFE_S = 5.0
@@ -13,19 +13,19 @@
 
 
 class ServerReport(NamedTuple):
-    """What a front has seen of a server.
+    """What a front observed of its server.
 
-    ``seated`` is the front's token if the server has accepted it, else
-    ``NO_TOKEN``.
+    ``accepted_front_token`` is the front's token if the server has accepted
+    it, otherwise ``NO_TOKEN``.
     """
 
     server: ids.ServerId
-    health: keeping.ServerHealth
-    seated: ids.Token
+    health: lease_manager.ServerHealth
+    accepted_front_token: ids.Token
 
 
 class SliceLoad(NamedTuple):
-    """Requests of a slice since the last report."""
+    """The number of requests for a slice since the last report."""
 
     slice: ids.SliceIndex
     requests: int
@@ -34,22 +34,22 @@
 class ServiceReport(NamedTuple):
     """What one instance reports about one service.
 
-    ``settled`` are granted slices whose earlier owners have let go,
-    ``bequeathed`` are slices that the heir of a lost server serves; ``loads``
-    names only slices that had requests. The first two carry the tokens that
-    the slices have in the log: a report outlives its moment, and says nothing
-    of a slice that has moved since.
+    ``settled`` are granted slices that all earlier owners have released, and
+    ``handed_over`` are slices that the backup of a lost server serves.
+    ``loads`` contains only slices that had requests. The first two carry the
+    tokens of the slices in the log, because a report may be read later and
+    does not apply to a slice that has moved since.
     """
 
     service: ids.ServiceName
     servers: list[ServerReport]
     settled: list[leases.SliceGrant]
-    bequeathed: list[leases.SliceGrant]
+    handed_over: list[leases.SliceGrant]
     loads: list[SliceLoad]
 
 
-class _Remembered(NamedTuple):
-    """An instance's newest report and when it came."""
+class _ReceivedReport(NamedTuple):
+    """An instance's newest report and the time at which it was received."""
 
     report: ServiceReport
     received_s: float
@@ -59,19 +59,19 @@
     """The newest reports about one service, and its load."""
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Has no report yet."""
+        """Starts without reports."""
         self._clock = clock
-        self._reports: dict[ids.InstanceId, _Remembered] = {}
+        self._reports: dict[ids.InstanceId, _ReceivedReport] = {}
         self._loads: dict[ids.SliceIndex, float] = {}
         self._loads_at_s = clock.monotonic_s()
-        self._accusers: collections.defaultdict[
+        self._down_reporters: collections.defaultdict[
             ids.ServerId, set[ids.InstanceId]
         ] = collections.defaultdict(set)
 
     def add(self, instance: ids.InstanceId, report: ServiceReport) -> None:
-        """Takes a report in."""
+        """Replaces an instance's report and adds its loads."""
         now_s = self._clock.monotonic_s()
-        self._reports[instance] = _Remembered(report, now_s)
+        self._reports[instance] = _ReceivedReport(report, now_s)
         self._decay_loads(now_s)
         for load in report.loads:
             self._loads[load.slice] = (
@@ -81,7 +81,7 @@
             self._note_health(instance, seen)
 
     def list_live(self, silence_s: float) -> list[ids.InstanceId]:
-        """Returns the instances that reported within a time, sorted."""
+        """Returns the instances that reported in the last ``silence_s``."""
         oldest_s = self._clock.monotonic_s() - silence_s
         return sorted(
             instance
@@ -91,40 +91,43 @@
 
     def find_health(
         self, server: ids.ServerId, front: ids.InstanceId
-    ) -> keeping.ServerHealth:
-        """Returns what a server's front last reported of it."""
+    ) -> lease_manager.ServerHealth:
+        """Returns the health that a server's front last reported."""
         seen = self._find(server, front)
-        return seen.health if seen else keeping.ServerHealth.UNKNOWN
+        return seen.health if seen else lease_manager.ServerHealth.UNKNOWN
 
-    def is_seated(
+    def is_front_accepted(
         self, server: ids.ServerId, front: ids.InstanceId, token: ids.Token
     ) -> bool:
         """Returns whether a server has accepted its front's token."""
         seen = self._find(server, front)
-        return seen is not None and seen.seated == token
+        return seen is not None and seen.accepted_front_token == token
 
-    def list_accusers(self, server: ids.ServerId) -> set[ids.InstanceId]:
-        """Returns the fronts that found a server down since it was last up."""
-        return self._accusers[server]
+    def list_down_reporters(self, server: ids.ServerId) -> set[ids.InstanceId]:
+        """Returns the fronts that reported a server down since it was up."""
+        return self._down_reporters[server]
 
     def list_settled(self) -> set[leases.SliceGrant]:
-        """Returns what any front reports as settled, maybe long ago."""
+        """Returns the slices that any front reports as settled.
+
+        The reports may be old; the tokens tell which slices moved since.
+        """
         return {
             grant
             for remembered in self._reports.values()
             for grant in remembered.report.settled
         }
 
-    def list_bequeathed(self) -> set[leases.SliceGrant]:
-        """Returns what any front reports as served by an heir."""
+    def list_handed_over(self) -> set[leases.SliceGrant]:
+        """Returns the slices that any front reports as served by a backup."""
         return {
             grant
             for remembered in self._reports.values()
-            for grant in remembered.report.bequeathed
+            for grant in remembered.report.handed_over
         }
 
     def list_loads(self) -> dict[ids.SliceIndex, float]:
-        """Returns requests a second by slice, over the last seconds."""
+        """Returns the recent requests per second by slice."""
         self._decay_loads(self._clock.monotonic_s())
         return {
             index: count / _LOAD_HALF_LIFE_S
@@ -134,7 +137,7 @@
     def _find(
         self, server: ids.ServerId, front: ids.InstanceId
     ) -> ServerReport | None:
-        """Returns what a server's front last reported of it."""
+        """Returns the last report of a server by its front."""
         remembered = self._reports.get(front)
         if remembered is None:
             return None
@@ -146,14 +149,14 @@
     def _note_health(
         self, instance: ids.InstanceId, seen: ServerReport
     ) -> None:
-        """Keeps who found a server down, until somebody finds it up."""
-        if seen.health is keeping.ServerHealth.DOWN:
-            self._accusers[seen.server].add(instance)
-        elif seen.health is not keeping.ServerHealth.UNKNOWN:
-            self._accusers.pop(seen.server, None)
+        """Records who reports a server down, until any front reports it up."""
+        if seen.health is lease_manager.ServerHealth.DOWN:
+            self._down_reporters[seen.server].add(instance)
+        elif seen.health is not lease_manager.ServerHealth.UNKNOWN:
+            self._down_reporters.pop(seen.server, None)
 
     def _decay_loads(self, now_s: float) -> None:
-        """Halves the counts for each half-life that has passed."""
+        """Decays the request counts by the time since the last decay."""
         passed_s = now_s - self._loads_at_s
         if passed_s < _LOAD_HALF_LIFE_S / 10:
             return
--- a/libs/bridgecross-ownership/tests/test_cell.py
+++ b/libs/bridgecross-ownership/tests/test_cell.py
@@ -28,8 +28,8 @@
     *,
     settled: tuple[int, ...] = (),
     fronts: dict[str, str] | None = None,
-    heir: str = "",
-    seated: tuple[str, ...] = (),
+    backup: str = "",
+    accepted_fronts: tuple[str, ...] = (),
     retired: tuple[str, ...] = (),
 ) -> records.Assignment:
     return records.Assignment(
@@ -44,12 +44,12 @@
         ),
         fronts=tuple(
             records.ServerFront(
-                ids.ServerId(s), ids.InstanceId(f), (), ids.ServerId(heir)
+                ids.ServerId(s), ids.InstanceId(f), (), ids.ServerId(backup)
             )
             for s, f in (fronts or {}).items()
         ),
         settled=tuple(map(ids.SliceIndex, settled)),
-        seated=tuple(map(ids.ServerId, seated)),
+        accepted_fronts=tuple(map(ids.ServerId, accepted_fronts)),
         retired=tuple(map(ids.ServerId, retired)),
         reason="",
     )
@@ -131,22 +131,24 @@
     _apply(cell, 3, _assignment(0, 2, {}, fronts={"s1": "c"}))
     earlier = cell.fronts[server].earlier
     assert [(e.front, e.token) for e in earlier] == [("a", 1), ("b", 2)]
-    nobody = _assignment(0, 3, {}, seated=("s9",))
+    nobody = _assignment(0, 3, {}, accepted_fronts=("s9",))
     assert isinstance(_apply(cell, 4, nobody), appender.Void)
-    _apply(cell, 5, _assignment(0, 3, {}, seated=("s1",)))
+    _apply(cell, 5, _assignment(0, 3, {}, accepted_fronts=("s1",)))
     assert cell.fronts[server].earlier == ()
     assert cell.fronts[server].token == 3
 
 
 def test_whoever_follows_a_server_asks_its_heir_as_well():
     cell = _claimed()
-    heir = ids.ServerId("s9")
+    backup = ids.ServerId("s9")
     fronts = {"s1": "a"}
-    _apply(cell, 1, _assignment(0, 0, {"s1": (0, 1)}, fronts=fronts, heir="s9"))
+    _apply(
+        cell, 1, _assignment(0, 0, {"s1": (0, 1)}, fronts=fronts, backup="s9")
+    )
     _apply(cell, 2, _assignment(0, 1, {"s2": (0,)}))
-    assert cell.slices[0].prior == (ids.ServerId("s1"), heir)
+    assert cell.slices[0].prior == (ids.ServerId("s1"), backup)
     assert cell.slices[1].prior == ()
-    same = _assignment(0, 2, {}, fronts=fronts, heir="s8")
+    same = _assignment(0, 2, {}, fronts=fronts, backup="s8")
     _apply(cell, 3, same)
     assert cell.slices[1].prior == ()
     _apply(cell, 4, _assignment(0, 3, {}, fronts={"s1": "b"}))
@@ -182,7 +184,9 @@
     fronts=st.dictionaries(
         st.sampled_from(["s1", "s2"]), st.sampled_from("ab"), max_size=1
     ),
-    seated=st.lists(st.sampled_from(["s1", "s2"]), max_size=1).map(tuple),
+    accepted_fronts=st.lists(st.sampled_from(["s1", "s2"]), max_size=1).map(
+        tuple
+    ),
     retired=st.lists(st.sampled_from(["s1", "s2"]), max_size=1).map(tuple),
 )
 
--- a/libs/bridgecross-ownership/tests/test_coordinator.py
+++ b/libs/bridgecross-ownership/tests/test_coordinator.py
@@ -13,7 +13,7 @@
 from bridgecross_ownership import authority as authorities
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import coordinator as coordinators
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership as memberships
 from bridgecross_ownership import records
@@ -127,9 +127,9 @@
 
 def _report(server: str, **about: list) -> reports.ServiceReport:
     seen = reports.ServerReport(
-        ids.ServerId(server), keeping.ServerHealth.UP, ids.Token(1)
+        ids.ServerId(server), lease_manager.ServerHealth.UP, ids.Token(1)
     )
-    lists = {"settled": [], "bequeathed": [], "loads": []} | about
+    lists = {"settled": [], "handed_over": [], "loads": []} | about
     return reports.ServiceReport(SERVICE, [seen], **lists)
 
 
@@ -183,7 +183,7 @@
 async def test_a_bequest_of_an_earlier_token_moves_nothing():
     cell = _cell_after_a_second_move()
     book = reports.ReportBook(clocks.SystemClock())
-    book.add(ids.InstanceId("b"), _report("rapor-1", bequeathed=_slice_0(1)))
+    book.add(ids.InstanceId("b"), _report("rapor-1", handed_over=_slice_0(1)))
     book.add(ids.InstanceId("c"), _report("rapor-2"))
     await _coordinate(cell, book)
     assert (cell.slices[0].server, cell.slices[0].token) == ("rapor-2", 2)
@@ -196,7 +196,7 @@
     book.add(ids.InstanceId("c"), _report("rapor-2", settled=_slice_0(2)))
     await _coordinate(cell, book)
     assert cell.slices[0].prior == ()
-    book.add(ids.InstanceId("c"), _report("rapor-2", bequeathed=_slice_0(2)))
+    book.add(ids.InstanceId("c"), _report("rapor-2", handed_over=_slice_0(2)))
     await _coordinate(cell, book)
     assert cell.slices[0].token > 2, "the log gives it an owner anew"
 
--- a/libs/bridgecross-ownership/tests/test_fronts.py
+++ b/libs/bridgecross-ownership/tests/test_fronts.py
@@ -11,7 +11,7 @@
 from bridgecross_ownership import authority as authorities
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import fronts as front_sets
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_ownership import records
 from bridgecross_ownership import releases
@@ -23,7 +23,7 @@
 ME = ids.InstanceId("a")
 OTHER = ids.InstanceId("b")
 SERVER = ids.ServerId("rapor-1")
-SETTINGS = keeping.KeeperSettings(
+SETTINGS = lease_manager.LeaseManagerSettings(
     checks_fences=True,
     lease_ms=200,
     renew_interval_ms=10,
@@ -64,15 +64,15 @@
         self.live: set[ids.InstanceId] = {ME}
         # Those that have nothing under way as an earlier front.
         self.done: set[ids.InstanceId] = set()
-        self.asked: list[releases.OfficeQuery] = []
+        self.asked: list[releases.FrontDrainedQuery] = []
 
     async def await_release(
         self, front: ids.InstanceId, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
         return releases.ReleaseReply([])
 
-    async def is_office_over(
-        self, front: ids.InstanceId, query: releases.OfficeQuery
+    async def is_front_drained(
+        self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
         self.asked.append(query)
         return front in self.done
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        settings: keeping.KeeperSettings = SETTINGS,
+        settings: lease_manager.LeaseManagerSettings = SETTINGS,
         *,
         after_another: bool = False,
     ) -> None:
@@ -113,7 +113,7 @@
         self.others = _Others()
         self.fronts = front_sets.Fronts(
             settings,
-            keeping.KeeperPorts(
+            lease_manager.LeaseManagerPorts(
                 ME,
                 self.cell,
                 authorities.Authority(
@@ -156,7 +156,7 @@
             moves=moves,
             fronts=fronts,
             settled=(),
-            seated=(),
+            accepted_fronts=(),
             retired=(),
             reason="",
         )
@@ -205,11 +205,11 @@
     bench = _Bench()
     async with anyio.create_task_group() as tasks:
         await _run_until_cut_off(bench, tasks)
-        keeper = bench.fronts.find(SERVER)
+        manager = bench.fronts.find(SERVER)
         bench.append_front(SERVER, ME, "c")
         bench.fronts.notify()
         assert await bench.ask_release() == [0], "it knows what is held"
-        assert bench.fronts.find(SERVER) is keeper
+        assert bench.fronts.find(SERVER) is manager
         tasks.cancel_scope.cancel()
 
 
@@ -256,11 +256,11 @@
     assert bench.others.asked == []
 
 
-async def _ask_office(
+async def _ask_drained(
     bench: _Bench, token: ids.Token, head: ids.Offset
 ) -> bool:
-    query = releases.OfficeQuery(SERVICE, SERVER, token, head)
-    return (await bench.fronts.answer_office(query)).is_over
+    query = releases.FrontDrainedQuery(SERVICE, SERVER, token, head)
+    return (await bench.fronts.answer_front_drained(query)).is_drained
 
 
 async def test_an_office_is_over_once_nothing_of_it_can_run():
@@ -268,19 +268,19 @@
     token = bench.cell.fronts[SERVER].token
     async with anyio.create_task_group() as tasks:
         await _run_until_cut_off(bench, tasks)
-        keeper = bench.fronts.find(SERVER)
-        assert keeper is not None
-        keeper.enter(ids.SliceIndex(0))
-        keeper.enter(ids.SliceIndex(0))
+        manager = bench.fronts.find(SERVER)
+        assert manager is not None
+        manager.begin_request(ids.SliceIndex(0))
+        manager.begin_request(ids.SliceIndex(0))
         bench.append_front(SERVER, OTHER)
         bench.fronts.notify()
         head = bench.cell.head
-        assert not await _ask_office(bench, token, head), "two are under way"
-        keeper.leave(ids.SliceIndex(0), 0.0)
-        keeper.leave(ids.SliceIndex(0), anyio.current_time() + 0.3)
-        assert not await _ask_office(bench, token, head), "one may run on"
+        assert not await _ask_drained(bench, token, head), "two are under way"
+        manager.end_request(ids.SliceIndex(0), 0.0)
+        manager.end_request(ids.SliceIndex(0), anyio.current_time() + 0.3)
+        assert not await _ask_drained(bench, token, head), "one may run on"
         await anyio.sleep(0.35)
-        assert await _ask_office(bench, token, head)
+        assert await _ask_drained(bench, token, head)
         tasks.cancel_scope.cancel()
 
 
@@ -291,9 +291,9 @@
         await _run_until_cut_off(bench, tasks)
         unread = ids.Offset(bench.cell.head + 1)
         other = ids.Token(token + 1)
-        assert not await _ask_office(bench, other, unread)
-        assert await _ask_office(bench, other, bench.cell.head)
-        assert not await _ask_office(bench, token, unread), "it is the front"
+        assert not await _ask_drained(bench, other, unread)
+        assert await _ask_drained(bench, other, bench.cell.head)
+        assert not await _ask_drained(bench, token, unread), "it is the front"
         tasks.cancel_scope.cancel()
 
 
@@ -302,5 +302,5 @@
     token = bench.cell.fronts[SERVER].token
     async with anyio.create_task_group() as tasks:
         await _run_until_cut_off(bench, tasks)
-        assert not await _ask_office(bench, token, bench.cell.head)
+        assert not await _ask_drained(bench, token, bench.cell.head)
         tasks.cancel_scope.cancel()
--- a/libs/bridgecross-ownership/tests/test_planner.py
+++ b/libs/bridgecross-ownership/tests/test_planner.py
@@ -9,9 +9,9 @@
     return tuple(ids.InstanceId(i) for i in instances if i != front)
 
 
-USABLE = planner.Standing.USABLE
-HELD = planner.Standing.HELD
-UNUSABLE = planner.Standing.UNUSABLE
+USABLE = planner.Eligibility.USABLE
+HELD = planner.Eligibility.HELD
+UNUSABLE = planner.Eligibility.UNUSABLE
 SETTINGS = planner.PlannerSettings(
     imbalance_target_ratio=1.2, balance_moves=100
 )
@@ -24,7 +24,7 @@
 def _cell(
     owners: list[str],
     fronts: dict[str, str],
-    heirs: dict[str, str] | None = None,
+    backups: dict[str, str] | None = None,
 ) -> cells.Cell:
     cell = cells.Cell(ids.ServiceName("rapor"))
     cell.restore(
@@ -42,7 +42,7 @@
                     ids.InstanceId(f),
                     ids.Token(1),
                     _other(f, "ab"),
-                    ids.ServerId((heirs or {}).get(s, "")),
+                    ids.ServerId((backups or {}).get(s, "")),
                     (),
                 )
                 for s, f in fronts.items()
@@ -54,7 +54,7 @@
 
 def _plan(
     owners: list[str],
-    servers: dict[str, planner.Standing],
+    servers: dict[str, planner.Eligibility],
     *,
     loads: dict[int, float] | None = None,
     instances: tuple[str, ...] = ("a", "b"),
@@ -62,18 +62,18 @@
     settings: planner.PlannerSettings = SETTINGS,
     unfit: set[planner.UnfitFront] | None = None,
     domains: dict[str, str] | None = None,
-    heirs: dict[str, str] | None = None,
-    bequeathed: tuple[int, ...] = (),
-    unseated: str = "",
+    backups: dict[str, str] | None = None,
+    handed_over: tuple[int, ...] = (),
+    unaccepted: str = "",
 ) -> planner.Plan:
     spread = {s: instances[i % len(instances)] for i, s in enumerate(servers)}
     names = list(servers)
     following = dict(zip(names, [*names[1:], names[0]], strict=True))
     cell = _cell(
-        owners, spread if fronts is None else fronts, heirs or following
+        owners, spread if fronts is None else fronts, backups or following
     )
-    if unseated:
-        server = ids.ServerId(unseated)
+    if unaccepted:
+        server = ids.ServerId(unaccepted)
         earlier = cells.EarlierFront(ids.InstanceId("z"), ids.Token(0), ())
         cell.fronts[server] = cell.fronts[server]._replace(earlier=(earlier,))
     view = planner.PlannerView(
@@ -83,7 +83,7 @@
         domains=domains or {},
         loads={ids.SliceIndex(i): v for i, v in (loads or {}).items()},
         unfit_fronts=unfit or set(),
-        bequeathed={ids.SliceIndex(i) for i in bequeathed},
+        handed_over={ids.SliceIndex(i) for i in handed_over},
     )
     return planner.plan(view, settings)
 
@@ -131,9 +131,9 @@
     owners = ["s1"] * 24 + ["s2"]
     servers = {"s1": USABLE, "s2": USABLE}
     assert _plan(owners, servers).balanced > 0
-    assert _plan(owners, servers, unseated="s1").balanced == 0
+    assert _plan(owners, servers, unaccepted="s1").balanced == 0
     lost = {"s1": UNUSABLE, "s2": USABLE}
-    assert _plan(owners, lost, unseated="s1").restored == 24
+    assert _plan(owners, lost, unaccepted="s1").restored == 24
 
 
 def test_the_fewest_slices_move_off_a_loaded_server():
@@ -208,15 +208,15 @@
         ["s1"],
         servers,
         domains=domains,
-        heirs={"s1": "s4", "s2": "s1", "s3": "s1", "s4": "s1"},
+        backups={"s1": "s4", "s2": "s1", "s3": "s1", "s4": "s1"},
     )
-    assert [(c.server, c.heir) for c in plan.fronts] == [("s1", "s3")]
+    assert [(c.server, c.backup) for c in plan.fronts] == [("s1", "s3")]
 
 
 def test_a_bequeathed_slice_gets_an_owner():
     owners = ["s1", "s2"] * 4
     servers = {"s1": USABLE, "s2": USABLE}
-    plan = _plan(owners, servers, bequeathed=(2,))
+    plan = _plan(owners, servers, handed_over=(2,))
     assert set(plan.moves) == {2}
 
 
--- a/libs/bridgecross-request/src/bridgecross_request/runner.py
+++ b/libs/bridgecross-request/src/bridgecross_request/runner.py
@@ -14,7 +14,7 @@
 from bridgecross_log import appender as appenders
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import fronts as front_sets
-from bridgecross_ownership import keeper as keeping
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import releases
 from bridgecross_request import backends
 from bridgecross_request import error_answers
@@ -49,16 +49,16 @@
         """Returns a server's ``host:port``, or None if it is unknown."""
 
 
-class HeirForwarder(Protocol):
-    """Takes requests to the fronts of heirs on other instances."""
+class BackupForwarder(Protocol):
+    """Takes requests to the fronts of backups on other instances."""
 
-    async def forward_to_heir(
+    async def forward_to_backup(
         self,
         instance: ids.InstanceId,
         request: requests.Request,
-        bequest: releases.Bequest,
+        takeover: releases.Takeover,
     ) -> outcomes.Outcome:
-        """Has another instance run a request at the heir that it fronts."""
+        """Has another instance run a request at the backup that it fronts."""
 
 
 class RunnerPorts(NamedTuple):
@@ -69,7 +69,7 @@
     backend: backends.Backend
     addresses: AddressBook
     intents: appenders.Appender
-    heirs: HeirForwarder
+    backups: BackupForwarder
     me: ids.InstanceId
     clock: clocks.Clock
     # What is known of requests that servers ended under, and who is told of
@@ -82,7 +82,7 @@
     """A request at the owner that it was found to have."""
 
     request: requests.Request
-    keeper: keeping.Keeper
+    manager: lease_manager.LeaseManager
     slice: ids.SliceIndex
     token: ids.Token
 
@@ -122,33 +122,33 @@
             return _stale("the service has no slices yet")
         index = hashing.find_slice(request.key, len(cell.slices))
         state = cell.slices[index]
-        keeper = self._ports.fronts.find(state.server)
-        if keeper is None:
+        manager = self._ports.fronts.find(state.server)
+        if manager is None:
             return _stale("this instance does not front the key's owner")
-        token = keeper.find_grant_token(index)
+        token = manager.find_grant_token(index)
         if token is None:
-            return await self._run_at_heir(request, keeper, index)
-        attempt = _Attempt(request, keeper, index, token)
+            return await self._run_at_backup(request, manager, index)
+        attempt = _Attempt(request, manager, index, token)
         if await self._wait_open(attempt):
             return await self._run_queued(attempt)
-        return await self._run_at_heir(request, keeper, index)
+        return await self._run_at_backup(request, manager, index)
 
-    async def run_inherited(
-        self, request: requests.Request, bequest: releases.Bequest
+    async def run_takeover(
+        self, request: requests.Request, takeover: releases.Takeover
     ) -> outcomes.Outcome:
-        """Runs a request at the heir of its key's owner, fronted here."""
+        """Runs a request at the backup of its key's owner, fronted here."""
         refusal = self._refuse_poison(request)
         if refusal is not None:
             return refusal
-        front = self._ports.cell.fronts.get(bequest.owner)
-        keeper = self._ports.fronts.find(front.heir) if front else None
-        if keeper is None or not keeper.inherit(bequest):
+        front = self._ports.cell.fronts.get(takeover.owner)
+        manager = self._ports.fronts.find(front.backup) if front else None
+        if manager is None or not manager.take_over(takeover):
             return _stale("this instance knows of no such heir")
-        index = bequest.slice
-        token = keeper.find_grant_token(index)
+        index = takeover.slice
+        token = manager.find_grant_token(index)
         if token is None:
             return _stale("the heir may not act any more")
-        attempt = _Attempt(request, keeper, index, token)
+        attempt = _Attempt(request, manager, index, token)
         if await self._wait_open(attempt):
             return await self._run_queued(attempt)
         return self._describe_closed(attempt)
@@ -158,36 +158,36 @@
         request = attempt.request
         self.waiting[request.tier] += 1
         try:
-            return await attempt.keeper.wait_open(
+            return await attempt.manager.wait_open(
                 attempt.slice, attempt.token, self._left_s(request)
             )
         finally:
             self.waiting[request.tier] -= 1
 
-    async def _run_at_heir(
+    async def _run_at_backup(
         self,
         request: requests.Request,
-        keeper: keeping.Keeper,
+        manager: lease_manager.LeaseManager,
         index: ids.SliceIndex,
     ) -> outcomes.Outcome:
-        """Has the heir of a server that cannot act run a request."""
-        bequest = keeper.bequeath(index)
-        front = self._ports.cell.fronts.get(keeper.front.heir)
-        if bequest is None or front is None:
-            token = keeper.find_grant_token(index)
+        """Has the backup of a server that cannot act run a request."""
+        takeover = manager.hand_over(index)
+        front = self._ports.cell.fronts.get(manager.front.backup)
+        if takeover is None or front is None:
+            token = manager.find_grant_token(index)
             return self._describe_closed(
-                _Attempt(request, keeper, index, token or ids.NO_TOKEN)
+                _Attempt(request, manager, index, token or ids.NO_TOKEN)
             )
         if front.front == self._ports.me:
-            return await self.run_inherited(request, bequest)
-        return await self._ports.heirs.forward_to_heir(
-            front.front, request, bequest
+            return await self.run_takeover(request, takeover)
+        return await self._ports.backups.forward_to_backup(
+            front.front, request, takeover
         )
 
     async def _run_queued(self, attempt: _Attempt) -> outcomes.Outcome:
         """Waits for a slot of the owner and runs the request in it."""
         request = attempt.request
-        queue = self._find_queue(attempt.keeper.server)
+        queue = self._find_queue(attempt.manager.server)
         place = self._find_place(request.tier)
         self.waiting[request.tier] += 1
         try:
@@ -226,8 +226,8 @@
 
     async def _send(self, attempt: _Attempt) -> outcomes.Outcome:
         """Sends the request if the owner may still run it."""
-        keeper = attempt.keeper
-        address = self._ports.addresses.find_address(keeper.server)
+        manager = attempt.manager
+        address = self._ports.addresses.find_address(manager.server)
         if address is None:
             return _stale("the owner's address is not known")
         # Taken before the check: if the process is stopped after it, the
@@ -239,10 +239,12 @@
         if refusal is not None:
             return refusal
         # Checked last: nothing is awaited between the check and the send.
-        if not keeper.is_open(attempt.slice, attempt.token):
+        if not manager.is_open(attempt.slice, attempt.token):
             return _stale("the owner changed while the request waited")
-        fence = backends.Fence(attempt.slice, attempt.token, keeper.front.token)
-        keeper.enter(attempt.slice)
+        fence = backends.Fence(
+            attempt.slice, attempt.token, manager.front.token
+        )
+        manager.begin_request(attempt.slice)
         over_at_s = attempt.request.deadline_s + _WALL_CLOCK_SLACK_S
         sent_s = self._ports.clock.monotonic_s()
         try:
@@ -252,7 +254,7 @@
             if not isinstance(outcome, outcomes.Unknown):
                 over_at_s = 0.0
         finally:
-            keeper.leave(attempt.slice, over_at_s)
+            manager.end_request(attempt.slice, over_at_s)
         await self._remember(attempt, address, sent_s, outcome)
         return outcome
 
@@ -280,7 +282,7 @@
         ports = self._ports
         subject = _name_subject(attempt.request)
         if isinstance(outcome, outcomes.Answered):
-            server = attempt.keeper.server
+            server = attempt.manager.server
             self._take_answered(server, subject, sent_s, outcome.status)
             return
         ended_s = ports.clock.monotonic_s()
@@ -288,8 +290,8 @@
         if not isinstance(outcome, outcomes.Unknown) or is_late:
             return
         if await ports.backend.is_refusing(address):
-            self._errors.forget(attempt.keeper.server)
-            run = self._name_run(attempt.keeper.server, sent_s, ended_s)
+            self._errors.forget(attempt.manager.server)
+            run = self._name_run(attempt.manager.server, sent_s, ended_s)
             end = poison_requests.RunEnd(subject, run, sent_s, ended_s)
             if ports.ledger.record_end(end):
                 ports.tell_others(subject)
@@ -328,7 +330,7 @@
 
     def _describe_closed(self, attempt: _Attempt) -> outcomes.NotRun:
         """Returns the outcome when the owner did not become able to serve."""
-        if attempt.keeper.find_grant_token(attempt.slice) != attempt.token:
+        if attempt.manager.find_grant_token(attempt.slice) != attempt.token:
             return _stale("the owner changed while the request waited")
         return outcomes.NotRun(
             outcomes.NotRunProof.REFUSED_BY_ADMISSION,
--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -18,7 +18,7 @@
 from bridgecross_ownership import _prior_owners
 from bridgecross_ownership import authority
 from bridgecross_ownership import cell
-from bridgecross_ownership import keeper
+from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
 from bridgecross_settings import versions
 from tests.matrix import fakes
@@ -38,13 +38,13 @@
     """Returns a patch that lets one fault of an assignment pass."""
 
     def patch(monkeypatch: pytest.MonkeyPatch) -> None:
-        original = cell.Cell._find_fault
+        original = cell.Cell._find_violation
 
-        def find_fault(self: cell.Cell, assignment: Any) -> str:
+        def find_violation(self: cell.Cell, assignment: Any) -> str:
             reason = original(self, assignment)
             return "" if reason.startswith(word) else reason
 
-        monkeypatch.setattr(cell.Cell, "_find_fault", find_fault)
+        monkeypatch.setattr(cell.Cell, "_find_violation", find_violation)
 
     return patch
 
@@ -96,36 +96,42 @@
 
 
 def _earlier_fronts_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = keeper.Keeper.__init__
+    original = lease_manager.LeaseManager.__init__
 
     def build(self: Any, *arguments: Any, **options: Any) -> None:
         original(self, *arguments, **options)
         self._earlier._over_at_s.clear()
         self._maybe_held = set()
 
-    monkeypatch.setattr(keeper.Keeper, "__init__", build)
+    monkeypatch.setattr(lease_manager.LeaseManager, "__init__", build)
 
 
 def _held_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = keeper.Keeper._has_let_go
+    original = lease_manager.LeaseManager._has_released
 
-    def has_let_go(self: Any, wanted: Any) -> bool:
+    def has_released(self: Any, wanted: Any) -> bool:
         self._maybe_held = set()
         return original(self, wanted)
 
-    monkeypatch.setattr(keeper.Keeper, "_has_let_go", has_let_go)
+    monkeypatch.setattr(
+        lease_manager.LeaseManager, "_has_released", has_released
+    )
 
 
 def _busy_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeper.Keeper, "enter", lambda self, index: None)
     monkeypatch.setattr(
-        keeper.Keeper, "leave", lambda self, index, over_at_s: None
+        lease_manager.LeaseManager, "begin_request", lambda self, index: None
+    )
+    monkeypatch.setattr(
+        lease_manager.LeaseManager,
+        "end_request",
+        lambda self, index, over_at_s: None,
     )
 
 
 def _always_open(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        keeper.Keeper,
+        lease_manager.LeaseManager,
         "is_open",
         lambda self, index, token: self._granted.get(index) == token,
     )
--- a/tests/matrix/test_outage.py
+++ b/tests/matrix/test_outage.py
@@ -64,7 +64,7 @@
 
 async def _lose_server_then_its_heir(house: houses.House) -> None:
     cell = house.fold().find_cell(houses.SERVICE)
-    heir = next(f.heir for s, f in cell.fronts.items() if s == "rapor-1")
+    heir = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
     house.servers["rapor-1"].lost = True
     await _await_service(house)
     house.servers[heir].frozen = True
@@ -76,7 +76,7 @@
 
 async def _cut_heirs_front_as_the_log_returns(house: houses.House) -> None:
     cell = house.fold().find_cell(houses.SERVICE)
-    heir = next(f.heir for s, f in cell.fronts.items() if s == "rapor-1")
+    heir = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
     front = house.find_front(heir)
     house.servers["rapor-1"].frozen = True
     await _await_service(house)
