--- a/benchmarks/poison_ways.py
+++ b/benchmarks/poison_ways.py
@@ -87,7 +87,7 @@
     )
     if way.subject is None:
         return _make_rows(play.run(_act), size)
-    with mock.patch.object(dispatch, "_name_subject", way.subject):
+    with mock.patch.object(dispatch, "_compute_fingerprint", way.subject):
         return _make_rows(play.run(_act), size)
 
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/attempts.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/attempts.py
@@ -1,4 +1,7 @@
-"""How one attempt at one backend server ended, as tagged dataclasses."""
+"""Requests, the results of attempts at backend servers, and server clients.
+
+The result of an attempt or of a lease order is one of several dataclasses.
+"""
 
 from collections.abc import Callable
 from collections.abc import Container
@@ -13,39 +16,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryRequest:
-    """A caller's request, as an entry instance takes it in."""
+    """A caller's request as received by an entry instance."""
 
-    # Names this attempt of the caller; never used twice.
+    # Identifies this attempt of the caller; never reused.
     request_id: str
     method: bytes
-    # Path and query, as the caller sent them.
+    # The path and query as sent by the caller.
     target: bytes
-    # The path alone, for the choice of a route.
+    # The path without the query, which selects the route.
     path: str
     host: str
-    # Headers to pass on; none that concern one connection only.
+    # Headers to forward; hop-by-hop headers have been removed.
     headers: tuple[outcomes.Header, ...]
     body: bytes
     # The key, for services whose backend servers own keys.
     key: int | None
     # When its head had been read, on the monotonic clock.
     received_s: float
-    # How long the caller waits for the answer.
+    # How long the caller waits for the answer; None if it did not say.
     caller_timeout_ms: float | None
-    # The host that it came from; empty if that is not known.
+    # The host that it came from; empty if unknown.
     caller: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shed:
-    """The backend server refused it for lack of room; it did not run."""
+    """The backend server rejected it as overloaded; it did not run."""
 
     status: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotOwner:
-    """The backend server does not own the key, or is another one."""
+    """The server does not own the key, or another server has its address."""
 
     # The name of the server that answered; empty if it did not say.
     answered_by: str
@@ -53,54 +56,56 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """Not one byte reached the server."""
+    """No byte of the request was sent."""
 
     reason: str
-    # Whether the address refused the connection: no process listens there.
+    # Whether the connection was refused: no process listens at the address.
     refused: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interrupted:
-    """It was sent, and no whole answer came: it may have run."""
+    """It was sent, but no complete answer arrived: it may have run."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withheld:
-    """Nothing was sent, since it may not be sent to that server any more.
+    """Nothing was sent, as ``MaySend`` no longer allowed it.
 
-    That says nothing of the server.
+    This says nothing about the health of the server.
     """
 
 
 Attempt = outcomes.Answered | Shed | NotOwner | NotSent | Interrupted
-"""The ways in which one attempt ends."""
+"""The result of one attempt."""
 
 
 MaySend = Callable[[], bool]
-"""Tells whether something may still be sent to a server; never waits. It is
-asked once there is a connection; nothing is awaited before the first byte."""
+"""Returns whether something may still be sent to a server; never waits. It is
+called once there is a connection, and nothing is awaited between the call and
+the first byte."""
 
 
 class Notice(NamedTuple):
-    """What a server says of itself beside an answer."""
+    """What a server reports about itself in the headers of an answer."""
 
-    # Whether its run is leaving.
+    # Whether this run of the server is leaving.
     is_leaving: bool = False
-    # For how long it wants to be left alone by whoever it answers; 0 if not.
+    # How long the receiver of the answer must send it no requests; 0 if it did
+    # not ask for a backoff.
     backoff_s: float = 0.0
-    # Why something that it says counts for nothing; empty if all is well.
+    # Why a part of the report is invalid and ignored; empty if all is valid.
     problem: str = ""
 
 
 NoticeHandler = Callable[[model.BackendServer, Notice], None]
-"""Told what a server says of itself; must not fail, and returns at once."""
+"""Handles what a server reports about itself; must not raise or block."""
 
 
 def ignore_notice(server: model.BackendServer, notice: Notice) -> None:
-    """Takes in nothing of what a server says."""
+    """Ignores what a server reports about itself."""
     del server, notice
 
 
@@ -108,8 +113,8 @@
     """Sends requests to backend servers."""
 
     on_notice: NoticeHandler
-    """Told by each answer of the server that was meant, as soon as it is read:
-    also if whoever waited for it has been cancelled at the same moment."""
+    """Called for each answer of the intended server as soon as it is read, even
+    if the task that waited for the answer is cancelled at the same moment."""
 
     async def send(
         self,
@@ -118,10 +123,17 @@
         remaining_ms: float,
         may_send: MaySend,
     ) -> Attempt | Withheld:
-        """Sends one request; cancelling it tells the server to stop."""
+        """Sends one request; cancelling this makes the server stop its work.
+
+        Args:
+            server: The server.
+            request: The request.
+            remaining_ms: The time until the request's deadline.
+            may_send: Whether it may still be sent to the server.
+        """
 
     def is_connected(self, server: model.BackendServer) -> bool:
-        """Whether a kept connection to a server is free."""
+        """Whether there is an idle connection to a server."""
 
     async def query_warmup_left_s(
         self,
@@ -130,54 +142,55 @@
         known_s: float,
         may_send: MaySend,
     ) -> float | None:
-        """Finds out whether the run that was known of a server goes on.
+        """Finds out whether a server has restarted and is cold.
 
-        The request that is sent next, without anything awaited in between, goes
-        by the connection that tells it.
+        The next request uses the connection that was checked, provided that
+        nothing is awaited in between.
 
         Args:
             server: The server.
-            path: Where it tells how it is.
+            path: The path of its health check.
             known_s: When it was last known whether the server is cold. A
-                connection that was there by then leads to the same run.
-            may_send: Whether the server may be asked anything.
+                connection opened before then leads to the same run.
+            may_send: Whether anything may be sent to the server.
 
         Returns:
-            For how much longer it is cold as it says itself; 0 if it is not, or
-            if it has gone on; None if it does not answer, or was not asked.
+            The remaining warm-up time that the server reports; 0 if it is not
+            cold or has not restarted; None if it did not answer or was not
+            asked.
         """
 
     async def is_refusing(self, server: model.BackendServer) -> bool:
         """Whether a server's address refuses connections; sends nothing.
 
-        A connection that comes about is kept.
+        A connection that is established is kept.
         """
 
     def sweep(self, known: Container[ids.ServerId]) -> None:
-        """Closes connections that are old, or lead to servers not known."""
+        """Closes connections that are old or lead to unknown servers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The server holds the range until the lease runs out."""
+    """The server holds the range until the lease expires."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
     """The server has stopped all work on the range."""
 
-    # Makes the next owner start warm; empty if there is none.
+    # State that lets the next owner start warm; empty if there is none.
     handover: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outranked:
-    """The server has seen a higher fencing token on one of the keys."""
+    """The server has seen a higher fencing token for one of the keys."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gone:
-    """The run of the server that was meant has ended."""
+    """The intended run of the server has ended."""
 
     reason: str
 
@@ -186,8 +199,8 @@
 class Refused:
     """The address refuses connections.
 
-    A server that is about to end refuses new ones while it still works on the
-    requests that it has.
+    A server that is shutting down refuses new connections while it still works
+    on the requests that it has.
     """
 
     reason: str
@@ -195,16 +208,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoReply:
-    """No usable answer came; the order may or may not have been taken."""
+    """No usable answer arrived; the order may or may not have been executed."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotTaken:
-    """The order was not taken and never will be.
+    """The order was not executed and never will be.
 
-    Not one byte of it was sent, or whoever has the address turned it down.
+    No byte of it was sent, or the server at the address rejected it.
     """
 
     reason: str
@@ -217,13 +230,13 @@
 
 
 class LeaseClient(Protocol):
-    """Gives ranges of keys to backend servers and takes them back."""
+    """Grants leases of key ranges to backend servers and revokes them."""
 
     on_notice: NoticeHandler
-    """Told by each answer, as ``BackendClient.on_notice`` is."""
+    """Called for each answer, as ``BackendClient.on_notice`` is."""
 
     def sweep(self, known: Container[ids.ServerId]) -> None:
-        """Closes connections that are old, or lead to servers not known."""
+        """Closes connections that are old or lead to unknown servers."""
 
     async def grant(
         self,
@@ -235,10 +248,10 @@
         handover: str,
         may_order: MaySend,
     ) -> GrantResult:
-        """Gives or renews a range; both ends are inside."""
+        """Grants or renews the lease of a range; both ends are inclusive."""
 
     async def can_connect(self, server: model.BackendServer) -> bool:
-        """Returns whether a connection can be made; gives no order."""
+        """Returns whether a connection can be made; sends no order."""
 
     async def release(
         self,
@@ -248,4 +261,4 @@
         token: int,
         may_order: MaySend,
     ) -> ReleaseResult:
-        """Takes a range back; answered once nothing runs on it any more."""
+        """Revokes a range; answered once nothing runs on it any more."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/tally.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/tally.py
@@ -54,7 +54,7 @@
 takes requests for a few at a time, and a configuration may have thousands."""
 
 
-class Ended(NamedTuple):
+class RequestResult(NamedTuple):
     """How a request ended."""
 
     # Whether it was its caller's first attempt.
@@ -65,7 +65,7 @@
     held_s: float
 
 
-def name_cause(trail: Sequence[str]) -> str:
+def find_cause(trail: Sequence[str]) -> str:
     """Returns why a request was not served, by its trail."""
     if not trail:
         return "no_server"
@@ -75,7 +75,7 @@
     return OTHER_CAUSE
 
 
-class _Sum:
+class _RouteTotals:
     """The requests of one route in one second."""
 
     def __init__(self, route: model.Route, service: ids.ServiceName) -> None:
@@ -99,24 +99,24 @@
     def __init__(self, journal: journals.Journal) -> None:
         """Starts at zero."""
         self._journal = journal
-        self._sums: dict[tuple[str, ids.ServiceName], _Sum] = {}
+        self._totals: dict[tuple[str, ids.ServiceName], _RouteTotals] = {}
 
     def count(
-        self, route: model.Route, service: ids.ServiceName, ended: Ended
+        self, route: model.Route, service: ids.ServiceName, ended: RequestResult
     ) -> None:
         """Counts a request that has ended."""
         key = (route.name, service)
-        found = self._sums.get(key)
+        found = self._totals.get(key)
         if found is None:
-            found = self._sums[key] = _Sum(route, service)
+            found = self._totals[key] = _RouteTotals(route, service)
         found.first_count += ended.first
         found.outcomes[ended.outcome] += 1
         found.held_s[ended.outcome] += ended.held_s
 
     def write(self, span_s: float) -> None:
         """Writes the sums of the last ``span_s`` seconds, and starts anew."""
-        sums = sorted(self._sums.values(), key=lambda each: -each.count)
-        self._sums = {}
+        sums = sorted(self._totals.values(), key=lambda each: -each.count)
+        self._totals = {}
         for each in sums[:_ROUTES_MAX_COUNT]:
             self._journal.lifecycle(
                 EVENT,
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -404,7 +404,7 @@
         self.book.put(support.make_server("south-2", domain="hall-2"))
         self.book.put(support.make_server("south-3", domain="hall-3"))
         self.book.put(support.make_server("nowhere", domain="hall-9"))
-        self.dispatcher._choice._instance = dataclasses.replace(
+        self.dispatcher._selector._instance = dataclasses.replace(
             support.INSTANCE, area_of_domain=HOMES
         )
         route = dataclasses.replace(
--- a/libs/bridgecross-entry/tests/test_tally.py
+++ b/libs/bridgecross-entry/tests/test_tally.py
@@ -31,9 +31,11 @@
 def test_requests_are_summed_up_by_route():
     def count(sums):
         read, file = support.make_route("/r/"), support.make_route("/f/")
-        sums.count(read, CATALOGUE, tally.Ended(True, tally.IN_TIME, 0.1))
-        sums.count(read, CATALOGUE, tally.Ended(False, "no_room", 0.2))
-        sums.count(file, CATALOGUE, tally.Ended(True, tally.LATE, 0.3))
+        sums.count(
+            read, CATALOGUE, tally.RequestResult(True, tally.IN_TIME, 0.1)
+        )
+        sums.count(read, CATALOGUE, tally.RequestResult(False, "no_room", 0.2))
+        sums.count(file, CATALOGUE, tally.RequestResult(True, tally.LATE, 0.3))
 
     first, second = _read_lines(count)
     assert first["route"] == "route/r/"
@@ -47,7 +49,9 @@
     def count(sums):
         for number in range(60):
             route = support.make_route(f"/{number}/")
-            sums.count(route, CATALOGUE, tally.Ended(True, tally.LATE, 0.1))
+            sums.count(
+                route, CATALOGUE, tally.RequestResult(True, tally.LATE, 0.1)
+            )
 
     lines = _read_lines(count)
     assert len(lines) == 51
@@ -75,4 +79,4 @@
     ],
 )
 def test_causes_are_named_by_the_last_of_the_trail(trail, cause):
-    assert tally.name_cause(trail) == cause
+    assert tally.find_cause(trail) == cause
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -91,7 +91,7 @@
             host, request.method, request.target, request.body
         )
 
-    return mock.patch.object(dispatch, "_name_subject", name)
+    return mock.patch.object(dispatch, "_compute_fingerprint", name)
 
 
 def _wait_for_no_work():
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -217,7 +217,9 @@
     async def is_known(self, life, server, may_send):
         return True
 
-    return mock.patch.object(dispatch.Dispatcher, "_is_known", is_known)
+    return mock.patch.object(
+        dispatch.Dispatcher, "_is_warmup_state_known", is_known
+    )
 
 
 def _let_nothing_turn_cold():
