--- a/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
@@ -1,16 +1,20 @@
-"""Which instance reads the log for all and coordinates the services.
-
-It is whoever made the newest claim, a record that is appended on condition
-that no other came in between. Nothing is paid for holding on to it: the
-leader's word, which it gives after each read of the log, is its heartbeat.
-Once it has been silent for long enough, another instance claims.
-
-Two may take themselves for the leader for a while. Key maps build on one
-another, so they cannot both move keys; but the earlier one could go on renewing
-leases of which the later one waits for the end. So orders are given only while
-the lead is confirmed: a majority of the instances took the leader's word a
-moment ago, or its claim was the newest in the log. A leader that stood still
-is not confirmed when it wakes. This is memory only; nobody keeps a vote.
+"""Leader election among the entry instances.
+
+The leader reads the log for all instances and coordinates the services.
+
+The leader is the instance with the newest claim. A claim is a record that is
+appended to the log on condition that no other claim was appended in between.
+Holding the lead needs no further log calls: the message that the leader relays
+to the others after each read of the log also serves as its heartbeat. When the
+heartbeats stop for long enough, another instance claims.
+
+For a while, two instances may both regard themselves as the leader. They cannot
+both move keys, because each key map builds on the one before. But the earlier
+leader could go on renewing leases whose expiry the later one is waiting for. So
+orders are issued only while the lead is confirmed: a majority of the instances
+accepted a recent heartbeat, or a recent read of the log showed the leader's
+claim to be the newest. A leader whose process was suspended is therefore
+unconfirmed when it resumes. All of this is kept in memory; no votes are stored.
 """
 
 from collections.abc import Callable
@@ -30,15 +34,15 @@
 from bridgecross_entry import model
 
 TOPIC = "keyed.bridgecross-leader"
-"""Claims, under one key."""
+"""The topic of claims; all claims have the same key."""
 
 _KEY = "leader"
 
 
 class Claim(NamedTuple):
-    """An instance takes the lead."""
+    """A claim to the lead by an instance."""
 
-    # Rises by one with each claim.
+    # Increases by one with each claim.
     term: int
     instance: str
 
@@ -49,72 +53,76 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayRound:
-    """Who took the leader's word, of those that were told at a time."""
+    """The outcome of sending one heartbeat to all other instances."""
 
-    # The claim that it was told under.
+    # The term of the claim under which it was sent.
     term: int
-    # When it was sent, on the steady clock.
+    # When it was sent, on the monotonic clock.
     sent_s: float
-    # All other instances that are known.
+    # The number of other known instances.
     peers: int
-    # Those that follow.
+    # The number of them that accepted the heartbeat.
     accepted: int
-    # Processes that have certainly ended; they follow nobody.
+    # The number of processes that have certainly ended and therefore follow no
+    # leader.
     ended: int
     # Whether one of them knows of a later claim.
     disputed: bool
 
     @property
     def is_majority(self) -> bool:
-        """Whether most instances follow, the leader included."""
+        """Whether most instances follow, counting the leader itself."""
         return 2 * (self.accepted + 1) > self.peers + 1 - self.ended
 
     @property
     def is_all(self) -> bool:
-        """Whether no instance is left that may follow another leader."""
+        """Whether no instance can still follow another leader."""
         return self.accepted + self.ended == self.peers
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadershipSettings:
-    """When an instance claims."""
-
-    # The leader speaks every 0.7 s; this is one and a half times that.
-    silence_s: float = 1.1
-    # An instance that has just started has not heard the leader yet, which
-    # learns of it from the log within 1.2 s.
-    first_silence_s: float = 2.0
-    # Instances claim one after the other, so that one is enough. A claim
-    # takes 10 ms until the others hear of it.
-    turn_s: float = 0.12
-    # The last of them do not wait for all before them, who may be gone: 6 to
-    # 10 strong machines of 90, and some more.
-    turns_max_count: int = 16
+    """Timing of claims and of the confirmation of the lead."""
+
+    # An instance may claim when it has received no heartbeat for this long. The
+    # leader sends one every 0.7 s; this is about one and a half times that.
+    heartbeat_timeout_s: float = 1.1
+    # The same for an instance that has just started. The leader learns of it
+    # from the log, within 1.2 s, and sends no heartbeats to it before that.
+    first_heartbeat_timeout_s: float = 2.0
+    # Instances claim one after the other, at this interval, so that one claim
+    # is enough. The others know of a claim within 10 ms.
+    claim_interval_s: float = 0.12
+    # The maximum number of intervals that an instance waits. Later ranks do not
+    # wait for all earlier ones, which may have ended. There are 6 to 10 strong
+    # machines among 90, and this allows for some more.
+    claim_intervals_max_count: int = 16
+    # Machines below these limits count as weak and claim after all others.
     # Leading 90 instances takes about 0.2 cores and 2 Mbit/s, and ten times
-    # that when many routes or keys change. Weak machines come after all
-    # others; one with 5 Mbit/s that led was choked by its own words.
+    # that when many routes or keys change. A machine with 5 Mbit/s that led
+    # saturated its link with its own relay messages.
     weak_cores: float = 0.7
-    # When nobody leads yet, as at the first start, they wait for this long:
-    # all machines start within 0.3 s, and starting takes up to 1 s.
-    weak_wait_s: float = 1.0
+    # How long weak machines wait when there is no leader yet, as at the first
+    # start: all machines start within 0.3 s, and starting takes up to 1 s.
+    weak_claim_delay_s: float = 1.0
     weak_link_mbps: float = 20.0
-    # At the first start of the whole system nobody knows whose turn it is;
-    # instances claim at random within this time, so that most hear of a leader
-    # before they would.
-    first_spread_s: float = 1.0
-    # The pause after a claim that the log did not take.
+    # At the first start of the whole system no instance knows its rank yet, so
+    # each waits for a random time up to this before it claims. Most hear of a
+    # leader before their own time is over.
+    first_start_spread_s: float = 1.0
+    # The pause after a claim that could not be appended to the log.
     retry_pause_s: float = 1.0
-    # While the leader has lost the log, the others find out one after the
-    # other, in turns of this length, whether they reach it. A try is a call,
-    # and most often the log is away for all; with 11 instances that half
-    # cannot reach it, another one leads after 1 s on the average.
-    lost_turn_s: float = 0.5
-    # How long a confirmation lasts, from when it was asked for. The word goes
-    # out every 0.7 s, and one that a majority missed is made up for by a look
-    # at the log, which takes up to 0.8 s.
-    confirmed_for_s: float = 1.5
-    # A confirmation that is older is renewed by a look at the log.
-    confirm_after_s: float = 0.9
+    # While the leader cannot reach the log, the other instances try in order of
+    # rank, at this interval, whether they can. Each try is a log call, and most
+    # often no instance can reach the log. With 11 instances of which half can
+    # reach the log, another one leads after 1 s on average.
+    log_lost_interval_s: float = 0.5
+    # How long a confirmation of the lead is valid, counted from when it was
+    # requested. Heartbeats are sent every 0.7 s. When a majority misses one,
+    # the leader reads the log instead, which takes up to 0.8 s.
+    confirmation_valid_s: float = 1.5
+    # A confirmation older than this is renewed by reading the log.
+    confirmation_renew_age_s: float = 0.9
 
     def is_weak(self, instance: model.InstanceSettings) -> bool:
         """Whether an instance should lead only if no other can."""
@@ -123,12 +131,12 @@
             or instance.link_mbps < self.weak_link_mbps
         )
 
-    # How often an instance looks whether it should claim.
-    look_interval_s: float = 0.1
+    # How often an instance checks whether it should claim.
+    check_interval_s: float = 0.1
 
 
 class Leadership:
-    """This instance's view of who leads."""
+    """Tracks which instance leads, and claims the lead when needed."""
 
     def __init__(
         self,
@@ -142,23 +150,24 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Knows of no leader yet.
+        """Initializes the state without a known leader.
 
         Args:
-            settings: When to claim.
+            settings: The timing of claims and confirmations.
             instance: This instance.
             log: The platform's log.
-            addresses: Where all instances listen, for whose turn it is.
-            weak_addresses: Those of them that come last.
-            reads_log: Whether this instance reads the log at the moment.
-            on_change: Called when this instance takes or loses the lead.
-            journal: Told of changes.
-            clock: For silence.
+            addresses: Returns the peer addresses of all instances, which
+                determine the order in which they claim.
+            weak_addresses: Returns those of weak machines, which claim last.
+            reads_log: Returns whether this instance can currently read the log.
+            on_change: Called when this instance gains or loses the lead.
+            journal: Receives a line for each change.
+            clock: Measures the time since the last heartbeat.
         """
         self.is_leader = False
-        # Whether the claims in the log were read once. An instance that has
-        # not read them may have followed a later leader in its earlier run, so
-        # it counts for no majority.
+        # Whether the claims in the log have been read at least once. An
+        # instance that has not read them does not count towards a majority,
+        # since its earlier run may have followed a later leader.
         self.knows_claims = False
         self._settings = settings
         self._instance = instance
@@ -170,90 +179,109 @@
         self._journal = journal
         self._clock = clock
         self._claim = _NO_CLAIM
-        # Until when nobody need claim for lack of the leader's word.
-        self._patient_until_s = 0.0
+        # The time before which this instance does not claim for lack of a
+        # heartbeat.
+        self._no_claim_before_s = 0.0
         self._resigned = False
-        # Whether the leader has lost the log, by its own word.
-        self._leader_is_lost = False
-        # When what last confirmed this instance's lead was asked for.
+        # Whether the leader reported that it cannot reach the log.
+        self._leader_lost_log = False
+        # When the latest confirmation of this instance's lead was requested.
         self._confirmed_s = float("-inf")
-        # Whether orders could be given when it was last looked at.
-        self._could_order = False
-        # When a majority first knew of the newest claim, and when all did;
-        # infinite before.
+        # Whether the lead was confirmed at the last check.
+        self._was_confirmed = False
+        # When a majority of the instances was first known to have accepted the
+        # newest claim, and when all were; infinite before that.
         self._known_s = float("inf")
         self._known_to_all_s = float("inf")
 
     @property
     def term(self) -> int:
-        """The term of the newest claim that is known."""
+        """The term of the newest known claim."""
         return self._claim.term
 
     @property
     def may_order(self) -> bool:
-        """Whether this instance leads for certain at this moment."""
+        """Whether this instance certainly leads now and may issue orders."""
         age_s = self._clock.monotonic_s() - self._confirmed_s
-        return self.is_leader and age_s < self._settings.confirmed_for_s
+        return self.is_leader and age_s < self._settings.confirmation_valid_s
 
     @property
     def known_s(self) -> float:
-        """When a majority first knew that this instance leads."""
+        """When a majority was first known to follow this leader.
+
+        On the monotonic clock; infinite before that. From then on an earlier
+        leader gets no confirmation from a majority any more, so leases that it
+        renewed run out within a bounded time.
+        """
         return self._known_s
 
     @property
     def known_to_all_s(self) -> float:
-        """When every other instance first knew it, or had ended."""
+        """When all instances were first known to follow, or to have ended.
+
+        On the monotonic clock; infinite before that. From then on no process is
+        left that may follow an earlier leader, so a shorter wait for that
+        leader's orders is enough.
+        """
         return self._known_to_all_s
 
-    def note_relay_round(self, told: "RelayRound") -> None:
-        """Takes in who took the word of this instance."""
-        if not self.is_leader or told.term != self._claim.term:
+    def note_relay_round(self, relay_round: "RelayRound") -> None:
+        """Records which instances accepted a heartbeat of this instance."""
+        if not self.is_leader or relay_round.term != self._claim.term:
             return
-        if told.disputed:
-            # Somebody knows of a later claim; the log says which it is.
+        if relay_round.disputed:
+            # Another instance knows of a later claim; reading the log shows
+            # which it is.
             self._confirmed_s = float("-inf")
-            self._journal.decision("lead_disputed", term=told.term)
-        elif told.is_majority:
-            self._confirmed_s = max(self._confirmed_s, told.sent_s)
+            self._journal.decision("lead_disputed", term=relay_round.term)
+        elif relay_round.is_majority:
+            self._confirmed_s = max(self._confirmed_s, relay_round.sent_s)
             now_s = self._clock.monotonic_s()
             self._known_s = min(self._known_s, now_s)
-            if told.is_all:
+            if relay_round.is_all:
                 self._known_to_all_s = min(self._known_to_all_s, now_s)
 
     async def run(self) -> None:
-        """Claims whenever the leader is silent, until cancelled."""
-        await self._look_up_first()
+        """Claims whenever heartbeats are missing, until cancelled."""
+        await self._read_first_claim()
         while True:
-            self._tell_confirmation()
+            self._log_confirmation_change()
             now_s = self._clock.monotonic_s()
-            unsure_s = now_s - self._confirmed_s
-            if self.is_leader and unsure_s > self._settings.confirm_after_s:
+            unconfirmed_s = now_s - self._confirmed_s
+            if (
+                self.is_leader
+                and unconfirmed_s > self._settings.confirmation_renew_age_s
+            ):
                 await self.confirm()
                 continue
-            silent_s = now_s - self._patient_until_s
+            silent_s = now_s - self._no_claim_before_s
             may_claim = not self.is_leader and not self._resigned
-            if may_claim and silent_s >= 0 and silent_s >= self._turn_s():
+            if (
+                may_claim
+                and silent_s >= 0
+                and silent_s >= self._claim_delay_s()
+            ):
                 await self._try_claim()
             await self._pause()
 
     async def _pause(self) -> None:
-        """Waits until the next look.
+        """Waits until the next check.
 
-        Time in which this process stood still is no silence of the leader: its
-        words of that time have not been read yet.
+        The time for which this process was suspended does not count as silence
+        of the leader: heartbeats that arrived meanwhile have not been read yet.
         """
-        interval_s = self._settings.look_interval_s
+        interval_s = self._settings.check_interval_s
         begun_s = self._clock.monotonic_s()
         await anyio.sleep(interval_s)
         late_s = self._clock.monotonic_s() - begun_s - interval_s
         if late_s > interval_s:
-            self._patient_until_s += late_s
+            self._no_claim_before_s += late_s
 
-    def _tell_confirmation(self) -> None:
-        """Writes when orders can be given again, or no longer."""
-        if self.may_order == self._could_order:
+    def _log_confirmation_change(self) -> None:
+        """Logs that the lead became confirmed or unconfirmed."""
+        if self.may_order == self._was_confirmed:
             return
-        self._could_order = self.may_order
+        self._was_confirmed = self.may_order
         self._journal.lifecycle(
             "lead_confirmed" if self.may_order else "lead_unconfirmed",
             term=self.term,
@@ -261,62 +289,64 @@
         )
 
     async def confirm(self) -> None:
-        """Looks in the log whether another has claimed since."""
+        """Reads the log to find out whether another instance has claimed."""
         asked_s = self._clock.monotonic_s()
         newest = await self._log.read_newest(TOPIC)
         if isinstance(newest, logs.Newest):
             claim = self._read(newest.records)
             if claim.term > self._claim.term:
-                self._follow(claim, self._settings.silence_s)
+                self._follow(claim, self._settings.heartbeat_timeout_s)
             elif self.is_leader and claim == self._claim:
                 self._confirmed_s = asked_s
-        await anyio.sleep(self._settings.look_interval_s)
+        await anyio.sleep(self._settings.check_interval_s)
 
     def handle_heartbeat(
         self, claim: Claim, *, log_lost: bool = False, resigns: bool = False
     ) -> bool:
-        """Takes the word of a leader.
+        """Processes a heartbeat of a leader.
 
         Args:
-            claim: Under which it leads.
-            log_lost: Whether it has lost the log itself.
-            resigns: Whether it leaves, so that another one should claim.
+            claim: The claim under which it leads.
+            log_lost: Whether the leader itself cannot reach the log.
+            resigns: Whether the leader is stopping, so that another instance
+                should claim.
 
         Returns:
-            Whether it counts: that of an earlier term does not.
+            Whether the heartbeat was accepted; one of an earlier term is not.
         """
         if claim.term < self._claim.term:
             return False
-        patient_until_s = self._patient_until_s
-        goes_on = claim.term == self._claim.term
-        self._follow(claim, self._settings.silence_s)
-        if goes_on and log_lost and self._leader_is_lost:
-            # Turns to claim run on from when it was lost.
-            self._patient_until_s = patient_until_s
+        no_claim_before_s = self._no_claim_before_s
+        is_same_term = claim.term == self._claim.term
+        self._follow(claim, self._settings.heartbeat_timeout_s)
+        if is_same_term and log_lost and self._leader_lost_log:
+            # The order of claims continues from when the leader lost the log;
+            # this heartbeat does not restart it.
+            self._no_claim_before_s = no_claim_before_s
         if resigns:
             now_s = self._clock.monotonic_s()
-            self._patient_until_s = min(patient_until_s, now_s)
-        self._leader_is_lost = log_lost
+            self._no_claim_before_s = min(no_claim_before_s, now_s)
+        self._leader_lost_log = log_lost
         return claim.instance != self._instance.name
 
     def resign(self) -> None:
-        """Claims no more; leads on until another one does."""
+        """Stops claiming; goes on leading until another instance claims."""
         self._resigned = True
 
     @property
     def claim(self) -> Claim:
-        """The newest claim that is known."""
+        """The newest known claim."""
         return self._claim
 
-    def _turn_s(self) -> float:
-        """Returns how long this instance lets others claim first."""
-        if self._leader_is_lost and not self._reads_log():
-            return self._rank() * self._settings.lost_turn_s
-        turn = min(self._rank(), self._settings.turns_max_count)
-        return turn * self._settings.turn_s
+    def _claim_delay_s(self) -> float:
+        """Returns how long to wait for instances of a better rank to claim."""
+        if self._leader_lost_log and not self._reads_log():
+            return self._rank() * self._settings.log_lost_interval_s
+        turn = min(self._rank(), self._settings.claim_intervals_max_count)
+        return turn * self._settings.claim_interval_s
 
     def _rank(self) -> int:
-        """Returns how many instances come before this one in this term."""
+        """Returns how many instances precede this one in the current term."""
         own = self._instance.peer_address
         others = {str(a): a for a in self._addresses() if a != own}
         ranked = hashing.rank_by_rendezvous(str(self.term), [str(own), *others])
@@ -327,8 +357,8 @@
         )
         return ranked.index(str(own))
 
-    async def _look_up_first(self) -> None:
-        """Reads who leads, when this instance starts."""
+    async def _read_first_claim(self) -> None:
+        """Reads the newest claim when this instance starts."""
         while True:
             newest = await self._log.read_newest(TOPIC)
             if isinstance(newest, logs.Newest):
@@ -337,46 +367,48 @@
         claim = self._read(newest.records)
         self.knows_claims = True
         if claim == _NO_CLAIM or claim.instance == self._instance.name:
-            # Nobody leads, or this instance did in its earlier run.
+            # There is no leader, or this instance led in its earlier run.
             self._claim = claim
-            self._patient_until_s = self._clock.monotonic_s()
+            self._no_claim_before_s = self._clock.monotonic_s()
             if self._settings.is_weak(self._instance):
-                self._patient_until_s += self._settings.weak_wait_s
+                self._no_claim_before_s += self._settings.weak_claim_delay_s
             if self._instance.is_first_start:
-                spread_s = self._settings.first_spread_s
-                self._patient_until_s += random.uniform(0.0, spread_s)
+                spread_s = self._settings.first_start_spread_s
+                self._no_claim_before_s += random.uniform(0.0, spread_s)
             if claim != _NO_CLAIM:
                 await self._try_claim()
             return
         if claim.term > self._claim.term:
-            self._follow(claim, self._settings.first_silence_s)
+            self._follow(claim, self._settings.first_heartbeat_timeout_s)
 
     async def _try_claim(self) -> None:
-        """Claims, unless another did so in the meantime."""
-        self._patient_until_s = (
+        """Appends a claim, unless another instance has claimed meanwhile."""
+        self._no_claim_before_s = (
             self._clock.monotonic_s() + self._settings.retry_pause_s
         )
         newest = await self._log.read_newest(TOPIC)
         if isinstance(newest, logs.Unreachable):
-            if self._leader_is_lost:
-                # The others come first before this one tries again.
+            if self._leader_lost_log:
+                # All other instances try before this one tries again.
                 count = len(set(self._addresses()))
-                self._patient_until_s += count * self._settings.lost_turn_s
+                self._no_claim_before_s += (
+                    count * self._settings.log_lost_interval_s
+                )
             return
         seen = self._read(newest.records)
         if seen.term > self._claim.term:
-            self._follow(seen, self._settings.silence_s)
+            self._follow(seen, self._settings.heartbeat_timeout_s)
             if seen.instance != self._instance.name:
                 return
-        # The log may have lost its claims; the others have not.
+        # The log may have lost the claims that other instances still know.
         term = max(seen.term, self._claim.term) + 1
         claim = Claim(term, self._instance.name)
         record = logs.KeyedRecord(_KEY, _CLAIMS.encode(claim))
         asked_s = self._clock.monotonic_s()
         result = await self._log.append(TOPIC, record, newest.end)
         if not isinstance(result, logs.Appended):
-            # A claim without an answer is found when it is read the next
-            # time, and counts from then on.
+            # If the answer was lost, the claim is found at the next read of the
+            # log and takes effect then.
             self._journal.decision(
                 "claim_not_made",
                 term=claim.term,
@@ -384,7 +416,7 @@
             )
             return
         self._claim = claim
-        self._leader_is_lost = False
+        self._leader_lost_log = False
         self._confirmed_s = asked_s
         self._known_s = float("inf")
         self._known_to_all_s = float("inf")
@@ -392,9 +424,9 @@
         self._journal.lifecycle("leads", term=claim.term)
         self._on_change()
 
-    def _follow(self, claim: Claim, patience_s: float) -> None:
-        """Follows a claim for a while."""
-        self._patient_until_s = self._clock.monotonic_s() + patience_s
+    def _follow(self, claim: Claim, timeout_s: float) -> None:
+        """Follows a claim, and waits this long for the next heartbeat."""
+        self._no_claim_before_s = self._clock.monotonic_s() + timeout_s
         if claim.term == self._claim.term:
             return
         self._claim = claim
@@ -407,13 +439,14 @@
             self._on_change()
 
     def _read(self, records: tuple[logs.KeyedRecord, ...]) -> Claim:
-        """Returns the newest claim."""
+        """Returns the newest claim among records."""
         for record in records:
             if record.key != _KEY:
                 continue
             try:
                 return _CLAIMS.decode(record.value)
             except Exception as error:
-                # Whatever others wrote, the next claim must not fail by it.
+                # An unreadable record by another writer must not prevent the
+                # next claim.
                 self._journal.lifecycle("claim_unreadable", reason=str(error))
         return _NO_CLAIM
