--- a/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
@@ -191,8 +191,8 @@
         self._was_confirmed = False
         # When a majority of the instances was first known to have accepted the
         # newest claim, and when all were; infinite before that.
-        self._known_s = float("inf")
-        self._known_to_all_s = float("inf")
+        self._majority_accepted_s = float("inf")
+        self._all_accepted_s = float("inf")
 
     @property
     def term(self) -> int:
@@ -206,24 +206,24 @@
         return self.is_leader and age_s < self._settings.confirmation_valid_s
 
     @property
-    def known_s(self) -> float:
+    def majority_accepted_s(self) -> float:
         """When a majority was first known to follow this leader.
 
         On the monotonic clock; infinite before that. From then on an earlier
         leader gets no confirmation from a majority any more, so leases that it
         renewed run out within a bounded time.
         """
-        return self._known_s
+        return self._majority_accepted_s
 
     @property
-    def known_to_all_s(self) -> float:
+    def all_accepted_s(self) -> float:
         """When all instances were first known to follow, or to have ended.
 
         On the monotonic clock; infinite before that. From then on no process is
         left that may follow an earlier leader, so a shorter wait for that
         leader's orders is enough.
         """
-        return self._known_to_all_s
+        return self._all_accepted_s
 
     def note_relay_round(self, relay_round: "RelayRound") -> None:
         """Records which instances accepted a heartbeat of this instance."""
@@ -237,9 +237,9 @@
         elif relay_round.is_majority:
             self._confirmed_s = max(self._confirmed_s, relay_round.sent_s)
             now_s = self._clock.monotonic_s()
-            self._known_s = min(self._known_s, now_s)
+            self._majority_accepted_s = min(self._majority_accepted_s, now_s)
             if relay_round.is_all:
-                self._known_to_all_s = min(self._known_to_all_s, now_s)
+                self._all_accepted_s = min(self._all_accepted_s, now_s)
 
     async def run(self) -> None:
         """Claims whenever heartbeats are missing, until cancelled."""
@@ -418,8 +418,8 @@
         self._claim = claim
         self._leader_lost_log = False
         self._confirmed_s = asked_s
-        self._known_s = float("inf")
-        self._known_to_all_s = float("inf")
+        self._majority_accepted_s = float("inf")
+        self._all_accepted_s = float("inf")
         self.is_leader = True
         self._journal.lifecycle("leads", term=claim.term)
         self._on_change()
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -70,11 +70,11 @@
         """Whether this instance leads for certain at this moment."""
 
     @property
-    def known_s(self) -> float:
+    def majority_accepted_s(self) -> float:
         """When a majority first knew that it leads; infinite before."""
 
     @property
-    def known_to_all_s(self) -> float:
+    def all_accepted_s(self) -> float:
         """When every other instance first knew it, or had ended."""
 
 
@@ -506,8 +506,8 @@
         """Returns until when an order of an earlier leader may be taken."""
         settings = self._settings
         return min(
-            self._lead.known_s + settings.earlier_leader_s,
-            self._lead.known_to_all_s + settings.earlier_order_s,
+            self._lead.majority_accepted_s + settings.earlier_leader_s,
+            self._lead.all_accepted_s + settings.earlier_order_s,
         )
 
     def _count(
--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -219,8 +219,8 @@
     def __init__(self) -> None:
         self.may_order = True
         # Long ago: no earlier leader gives orders any more.
-        self.known_s = float("-inf")
-        self.known_to_all_s = float("-inf")
+        self.majority_accepted_s = float("-inf")
+        self.all_accepted_s = float("-inf")
 
 
 LEASES = leases.LeaseSettings(
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -74,8 +74,8 @@
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        bench.lead.known_s = time.monotonic()
-        bench.lead.known_to_all_s = float("inf")
+        bench.lead.majority_accepted_s = time.monotonic()
+        bench.lead.all_accepted_s = float("inf")
         bench.book.put(support.make_server("a", leaving=True))
         await anyio.sleep(0.15)
         assert lease_servers.holder(KEY) == "a"
--- a/libs/bridgecross-entry/tests/test_leadership.py
+++ b/libs/bridgecross-entry/tests/test_leadership.py
@@ -15,30 +15,32 @@
 pytestmark = pytest.mark.anyio
 
 SETTINGS = leadership.LeadershipSettings(
-    silence_s=0.15,
-    first_silence_s=0.2,
-    turn_s=0.02,
+    heartbeat_timeout_s=0.15,
+    first_heartbeat_timeout_s=0.2,
+    claim_interval_s=0.02,
     retry_pause_s=0.05,
-    look_interval_s=0.01,
-    lost_turn_s=0.1,
+    check_interval_s=0.01,
+    log_lost_interval_s=0.1,
 )
 
 
-def _told(term, peers, *, accepted=0, ended=0, disputed=False, sent_s=None):
+def _make_round(
+    term, peers, *, accepted=0, ended=0, disputed=False, sent_s=None
+):
     if sent_s is None:
         sent_s = clock.SystemClock().monotonic_s()
     return leadership.RelayRound(term, sent_s, peers, accepted, ended, disputed)
 
 
 class Member:
-    """One instance, which tells the others while it leads."""
+    """One instance, which sends heartbeats to the others while it leads."""
 
     def __init__(
         self, platform_log: fakes.MemoryLog, number: int, weak=()
     ) -> None:
         self.address = model.Address("127.0.0.1", 7_000 + number)
         self.others: list[Member] = []
-        self.heard_by: list[Member] = []
+        self.reachable: list[Member] = []
         self.leadership = leadership.Leadership(
             SETTINGS,
             dataclasses.replace(
@@ -65,11 +67,11 @@
 
     def tell(self) -> None:
         claim = self.leadership.claim
-        for other in self.heard_by:
+        for other in self.reachable:
             other.leadership.handle_heartbeat(claim)
-        count = len(self.heard_by)
+        count = len(self.reachable)
         self.leadership.note_relay_round(
-            _told(claim.term, count, accepted=count)
+            _make_round(claim.term, count, accepted=count)
         )
 
 
@@ -78,7 +80,7 @@
     members = [Member(platform_log, number) for number in range(count)]
     for member in members:
         member.others = [m for m in members if m is not member]
-        member.heard_by = list(member.others)
+        member.reachable = list(member.others)
     async with anyio.create_task_group() as tasks:
         for member in members:
             tasks.start_soon(member.run)
@@ -98,9 +100,14 @@
         assert _leaders(members) == first
 
 
-@pytest.mark.parametrize("stands_s", [0.2, 0.3, 0.6])
-async def test_who_stood_still_hears_the_leader_before_it_claims(stands_s):
-    """A process that was held up took its own silence for the leader's.
+@pytest.mark.parametrize("blocked_s", [0.2, 0.3, 0.6])
+async def test_a_suspended_process_reads_heartbeats_before_it_claims(blocked_s):
+    """A suspended process mistook its own pause for silence of the leader.
+
+    When it resumed, its timers were due at once, and so was its claim, while
+    the heartbeats that had arrived meanwhile were still unread. Seen as a
+    change of leader on a busy machine, and in each run in which the event loop
+    is blocked for 0.2 s.
 
     Its timers were due at once when it ran again, and so was its turn to claim;
     what the leader had said meanwhile lay unread. Seen as a change of leader on
@@ -110,7 +117,7 @@
         await fakes.until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)
         await anyio.sleep(0.1)
-        time.sleep(stands_s)  # noqa: ASYNC251 (nothing else may run)
+        time.sleep(blocked_s)  # noqa: ASYNC251 (nothing else may run)
         await anyio.sleep(0.4)
         assert _leaders(members) == first
 
@@ -119,7 +126,7 @@
     async with _running(5, fakes.MemoryLog()) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
         (first,) = _leaders(members)
-        first.heard_by = []
+        first.reachable = []
         await fakes.until(lambda: len(_leaders(first.others)) == 1)
         await fakes.until(lambda: not first.leadership.is_leader)
 
@@ -131,7 +138,7 @@
         (first,) = _leaders(members)
         first.leadership.resign()
         claim = first.leadership.claim
-        first.heard_by = []
+        first.reachable = []
         for other in first.others:
             other.leadership.handle_heartbeat(claim, resigns=True)
         await fakes.until(lambda: _leaders(first.others), 0.12)
@@ -163,7 +170,7 @@
         await fakes.until(lambda: len(_leaders(members)) == 1)
 
 
-async def test_the_word_of_an_earlier_term_does_not_count():
+async def test_a_heartbeat_of_an_earlier_term_is_not_accepted():
     member = Member(fakes.MemoryLog(), 1)
     assert member.leadership.handle_heartbeat(leadership.Claim(5, "entry-2"))
     assert not member.leadership.handle_heartbeat(
@@ -176,15 +183,15 @@
     async with _running(2, platform_log) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
         (first,) = _leaders(members)
-        first.heard_by = []
+        first.reachable = []
         for other in first.others:
-            other.heard_by = []
+            other.reachable = []
         await fakes.until(lambda: len(_leaders(members)) == 2)
         await first.leadership.confirm()
         assert not first.leadership.is_leader
 
 
-async def test_while_the_leader_has_lost_the_log_the_others_try_in_turn():
+async def test_while_the_leader_has_lost_the_log_the_others_try_one_by_one():
     platform_log = fakes.MemoryLog()
     async with _running(4, platform_log) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
@@ -198,7 +205,7 @@
 
         platform_log.read_newest = counted
         (leader,) = _leaders(members)
-        heard, leader.heard_by = leader.heard_by, []
+        heard, leader.reachable = leader.reachable, []
         leader.tell = lambda: None
         for _ in range(25):
             for other in heard:
@@ -206,10 +213,11 @@
                     leader.leadership.claim, log_lost=True
                 )
             claim = leader.leadership.claim
-            told = _told(claim.term, 3, accepted=3)
-            leader.leadership.note_relay_round(told)
+            relay_round = _make_round(claim.term, 3, accepted=3)
+            leader.leadership.note_relay_round(relay_round)
             await anyio.sleep(0.04)
-        # A turn is 0.1 s here, and silence of 0.15 s goes before the first.
+        # The interval between claims is 0.1 s here, and the heartbeat timeout
+        # of 0.15 s passes before the first.
         assert 2 <= len(calls) <= 9
 
 
@@ -218,8 +226,8 @@
     async with _running(3, platform_log) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)[0]
-        heard = first.heard_by
-        first.heard_by = []
+        heard = first.reachable
+        first.reachable = []
         others = [m for m in members if m is not first]
         with anyio.fail_after(3):
             while not _leaders(others):
@@ -246,12 +254,12 @@
 def test_a_majority_counts_who_follows_and_who_has_ended(
     peers, accepted, ended, expected
 ):
-    told = _told(1, peers, accepted=accepted, ended=ended)
-    assert told.is_majority is expected
+    relay_round = _make_round(1, peers, accepted=accepted, ended=ended)
+    assert relay_round.is_majority is expected
 
 
 async def _lead_alone(manual, platform_log):
-    """Returns a leader whose clock a test moves."""
+    """Returns a leader whose clock the test sets."""
     leading = leadership.Leadership(
         leadership.LeadershipSettings(),
         support.INSTANCE,
@@ -267,21 +275,21 @@
     return leading
 
 
-async def test_a_lead_lasts_only_for_a_while_without_confirmation():
+async def test_a_lead_expires_without_confirmation():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
     assert leading.may_order
     manual.now_s += 1.4
     assert leading.may_order
-    # As after a freeze: the clock went on, and nobody confirmed.
+    # As after a suspended process: time passed without a confirmation.
     manual.now_s += 0.2
     assert not leading.may_order
     leading.note_relay_round(
-        _told(leading.term, 4, accepted=1, sent_s=manual.now_s)
+        _make_round(leading.term, 4, accepted=1, sent_s=manual.now_s)
     )
     assert not leading.may_order
     leading.note_relay_round(
-        _told(leading.term, 4, accepted=2, sent_s=manual.now_s)
+        _make_round(leading.term, 4, accepted=2, sent_s=manual.now_s)
     )
     assert leading.may_order
 
@@ -290,21 +298,23 @@
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
     manual.now_s += 5
-    told = _told(leading.term, 2, accepted=2, sent_s=manual.now_s - 1.6)
-    leading.note_relay_round(told)
+    relay_round = _make_round(
+        leading.term, 2, accepted=2, sent_s=manual.now_s - 1.6
+    )
+    leading.note_relay_round(relay_round)
     assert not leading.may_order
 
 
-async def test_a_dispute_ends_the_lead_until_the_log_is_asked():
+async def test_a_dispute_suspends_the_lead_until_the_log_is_read():
     manual = support.ManualClock()
     platform_log = fakes.MemoryLog()
     leading = await _lead_alone(manual, platform_log)
-    told = _told(leading.term, 4, accepted=3, disputed=True)
-    leading.note_relay_round(told)
+    relay_round = _make_round(leading.term, 4, accepted=3, disputed=True)
+    leading.note_relay_round(relay_round)
     assert not leading.may_order
     await leading.confirm()
     assert leading.may_order
-    leading.note_relay_round(told)
+    leading.note_relay_round(relay_round)
     rival = leadership.Claim(leading.term + 1, "rival")
     record = log.KeyedRecord("leader", leadership._CLAIMS.encode(rival))
     platform_log.records[leadership.TOPIC].append(record)
@@ -313,14 +323,14 @@
     assert not leading.is_leader
 
 
-async def test_a_majority_knows_of_the_lead_only_once_it_took_its_word():
+async def test_a_majority_counts_only_once_it_accepted_a_heartbeat():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
-    assert leading.known_s == float("inf")
-    leading.note_relay_round(_told(leading.term, 2, accepted=0))
-    assert leading.known_s == float("inf")
-    leading.note_relay_round(_told(leading.term, 2, accepted=1))
-    assert leading.known_s == manual.now_s
+    assert leading.majority_accepted_s == float("inf")
+    leading.note_relay_round(_make_round(leading.term, 2, accepted=0))
+    assert leading.majority_accepted_s == float("inf")
+    leading.note_relay_round(_make_round(leading.term, 2, accepted=1))
+    assert leading.majority_accepted_s == manual.now_s
 
 
 def test_weak_machines_come_after_all_others():
@@ -342,23 +352,23 @@
     assert member.leadership._rank() == 18
 
 
-async def test_all_know_of_the_lead_once_none_is_left_unheard():
+async def test_all_follow_once_each_has_accepted_or_ended():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
-    leading.note_relay_round(_told(leading.term, 4, accepted=3))
-    assert leading.known_to_all_s == float("inf")
-    leading.note_relay_round(_told(leading.term, 4, accepted=2, ended=2))
-    assert leading.known_to_all_s == manual.now_s
+    leading.note_relay_round(_make_round(leading.term, 4, accepted=3))
+    assert leading.all_accepted_s == float("inf")
+    leading.note_relay_round(_make_round(leading.term, 4, accepted=2, ended=2))
+    assert leading.all_accepted_s == manual.now_s
 
 
-async def test_it_is_told_when_orders_can_be_given_and_when_not():
+async def test_a_change_of_confirmation_is_logged():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
     told = []
     leading._journal.lifecycle = lambda event, **fields: told.append(event)
     for passed_s in (0.0, 1.0, 1.0, 1.0):
         manual.now_s += passed_s
-        leading._tell_confirmation()
+        leading._log_confirmation_change()
     assert told == ["lead_confirmed", "lead_unconfirmed"]
 
 
@@ -370,27 +380,29 @@
 
 
 @pytest.mark.parametrize(
-    ("reads_log", "turn_s"),
+    ("reads_log", "delay_s"),
     [
-        pytest.param(True, 16 * SETTINGS.turn_s, id="reads the log"),
-        pytest.param(False, 60 * SETTINGS.lost_turn_s, id="does not"),
+        pytest.param(True, 16 * SETTINGS.claim_interval_s, id="reads the log"),
+        pytest.param(False, 60 * SETTINGS.log_lost_interval_s, id="does not"),
     ],
 )
-def test_one_that_reads_what_the_leader_cannot_claims_soon(reads_log, turn_s):
+def test_an_instance_that_can_read_the_log_claims_before_others(
+    reads_log, delay_s
+):
     member = Member(fakes.MemoryLog(), 0)
     member.leadership._reads_log = lambda: reads_log
     member.leadership.handle_heartbeat(
         leadership.Claim(7, "entry-9"), log_lost=True
     )
     member.leadership._rank = lambda: 60
-    assert member.leadership._turn_s() == pytest.approx(turn_s)
+    assert member.leadership._claim_delay_s() == pytest.approx(delay_s)
 
 
-async def test_one_that_has_not_read_the_claims_follows_without_a_voice():
+async def test_an_instance_that_has_not_read_the_claims_does_not_count():
     platform_log = fakes.MemoryLog()
     member = Member(platform_log, 1)
     assert not member.leadership.knows_claims
     member.leadership.handle_heartbeat(leadership.Claim(0, "entry-9"))
     assert not member.leadership.knows_claims
-    await member.leadership._look_up_first()
+    await member.leadership._read_first_claim()
     assert member.leadership.knows_claims
--- a/libs/bridgecross-entry/tests/test_leases.py
+++ b/libs/bridgecross-entry/tests/test_leases.py
@@ -163,8 +163,8 @@
 @pytest.mark.parametrize(
     ("who_knows", "wait_s"),
     [
-        pytest.param("known_s", 0.2, id="a majority knows"),
-        pytest.param("known_to_all_s", 0.05, id="all know"),
+        pytest.param("majority_accepted_s", 0.2, id="a majority knows"),
+        pytest.param("all_accepted_s", 0.05, id="all know"),
     ],
 )
 def test_leases_of_an_earlier_leader_are_waited_for(
@@ -173,7 +173,7 @@
     """Their end counts from when others knew of this leader."""
     manual = support.ManualClock()
     keeper = _make_keeper(lease_servers, lead, manual)
-    lead.known_s = lead.known_to_all_s = float("inf")
+    lead.majority_accepted_s = lead.all_accepted_s = float("inf")
     keeper.assume_held(RANGES)
     manual.now_s += 60
     assert not keeper._may_hold_no_more(A)
@@ -260,7 +260,7 @@
 # A key was given on under a lease that an earlier leader had renewed since.
 async def test_a_second_answer_waits_for_what_an_earlier_leader_renewed(lead):
     begun_s = time.monotonic()
-    lead.known_s, lead.known_to_all_s = begun_s, math.inf
+    lead.majority_accepted_s, lead.all_accepted_s = begun_s, math.inf
     servers_of_a = LostReleases(begun_s)
     keeper = _make_keeper(servers_of_a, lead, clock.SystemClock())
     moving = keymap.KeyRange(0, 9, ids.ServerId("b"), 2, A)
@@ -428,8 +428,8 @@
     restarting = Restarting()
     keeper = _make_keeper(restarting, lead, clock.SystemClock())
     begun_s = time.monotonic()
-    lead.known_s = begun_s
-    lead.known_to_all_s = begun_s if known_to_all else float("inf")
+    lead.majority_accepted_s = begun_s
+    lead.all_accepted_s = begun_s if known_to_all else float("inf")
     restarting.renewed_until_s = begun_s + least_s
     moving = keymap.KeyRange(0, 9, ids.ServerId("b"), 2, A)
     taken = await keeper.take_back(A, moving)
@@ -443,7 +443,10 @@
     slow = SlowReleases()
     keeper = _make_keeper(slow, lead, clock.SystemClock())
     next_lead = fakes.Lead()
-    next_lead.known_s, next_lead.known_to_all_s = time.monotonic(), math.inf
+    next_lead.majority_accepted_s, next_lead.all_accepted_s = (
+        time.monotonic(),
+        math.inf,
+    )
     next_keeper = _make_keeper(slow, next_lead, clock.SystemClock())
     moving = keymap.KeyRange(0, 9, ids.ServerId("b"), 2, A)
     await keeper.renew(A, RANGES, lambda _: True)
