--- a/libs/bridgecross-request/src/bridgecross_request/poison_requests.py
+++ b/libs/bridgecross-request/src/bridgecross_request/poison_requests.py
@@ -1,15 +1,17 @@
-"""Poison requests: those under which one server after another ends.
-
-Such a request comes again under another id, from anybody, at any instance. So
-requests are known by what they ask for, and what became of them is remembered:
-on which runs of servers one was at work when the run ended, and when one was
-last answered. Being at work where a server ends proves nothing, since a server
-may end for any reason; what tells a poison request from a popular one is that
-no run of it ever comes to an answer. A popular one may get none either while
-each server that it reaches ends under another request; one that was answered
-shortly before is then not held to account for those ends.
-
-Pure bookkeeping: bounded in entries and in time, without I/O.
+"""Detects poison requests: requests that crash one server after another.
+
+A poison request may be repeated under another id, by any caller, at any
+instance. Requests are therefore identified by a fingerprint of their content.
+For each fingerprint the ledger remembers during which server runs such a
+request was in flight when the run ended, and when one was last answered.
+
+A request that was in flight when a server ended need not be the cause, because
+a server may end for any reason. What distinguishes a poison request from a
+popular one is that it is never answered. A popular request may also get no
+answers while each server that it reaches is crashed by another request; if it
+was answered shortly before, those ends do not count against it.
+
+This module does no I/O, and its memory is bounded in entries and in time.
 """
 
 from collections.abc import Iterable
@@ -23,7 +25,7 @@
 from bridgecross_core import clock as clocks
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""Names a request whatever its id, by what it asks for."""
+"""Identifies a request by its content, independent of its id."""
 
 FINGERPRINT_BYTES = 16
 
@@ -31,20 +33,20 @@
 def compute_fingerprint(
     host: str, method: bytes, target: bytes, body: bytes
 ) -> Fingerprint:
-    """Returns what a request is known by when it comes again.
+    """Returns the fingerprint by which a repeated request is recognized.
 
-    Who asks is no part of it: what servers end under ends them whoever asks,
-    and the same caller may come from many addresses.
+    It does not include the caller: a poison request crashes servers whoever
+    sends it, and the same caller may use many addresses.
 
     Args:
-        host: The host that is asked.
-        method: What is to be done.
+        host: The requested host.
+        method: The HTTP method.
         target: The path and the query.
-        body: All of the body.
+        body: The whole body.
     """
     digest = xxhash.xxh3_128()
     for part in (host.encode(), method, target, body):
-        # Lengths keep parts apart: no two requests read the same in a row.
+        # The length prefix keeps two requests from giving the same sequence.
         digest.update(b"%d:" % len(part))
         digest.update(part)
     return Fingerprint(digest.digest())
@@ -52,50 +54,53 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoisonSettings:
-    """When a request counts as poison, and what is remembered."""
+    """When a request counts as poison, and how much is remembered."""
 
-    # Servers that may end under a request before it is refused. One or two are
-    # chance: servers end for other reasons, and requests are at work there.
+    # The number of server runs that may end under a request before it is
+    # refused. One or two may be coincidence: servers also end for other
+    # reasons while requests are in flight.
     ends_max_count: int = 3
-    # For how long an end counts. A request that is refused wrongly is served
-    # again after that; one that is poison may end servers once more.
+    # How long an end counts. After that, a request that was refused by mistake
+    # is served again; a poison request may crash servers once more.
     retention_s: float = 600.0
-    # A request that was answered so shortly before servers ended is one that
-    # servers can run. Ends at the same time then have another cause, such as
-    # the loss of a failure domain, and count as one.
+    # A request that was answered within this time before servers ended is one
+    # that servers can run. Ends at the same time then have another cause, such
+    # as the loss of a failure domain, and count as one.
     recent_answer_s: float = 10.0
-    # Servers that ended under another request, one without an answer lately,
-    # before it accounts for them. Of one end, anything may be the cause.
+    # How many servers must have ended under another request, one that was not
+    # answered recently, for that request to be the likelier cause. A single
+    # end may have any cause.
     likelier_cause_min_ends: int = 2
     # Requests whose ends are remembered, 0.5 KB each.
     subjects_max_count: int = 1_024
-    # Requests whose answers are remembered, 0.2 KB each: at 400 a second those
-    # of ten seconds, and at ten times that the ones of one second, in which
-    # whoever asks often enough to be at three servers has been answered.
+    # Requests whose answers are remembered, 0.2 KB each. At 400 requests per
+    # second that covers ten seconds. At ten times that rate it covers one
+    # second, in which a request that is sent often enough to be in flight at
+    # three servers has been answered.
     answers_max_count: int = 4_096
 
 
 class RunEnd(NamedTuple):
-    """A server's run that ended while a request was at work there."""
+    """The end of a server's run while a request was in flight there."""
 
     subject: Fingerprint
-    # Names the run.
+    # Identifies the run of the server.
     server: str
-    # When the request went there, and when its connection broke, on the
-    # steady clock of whoever reads this.
+    # When the request was sent, and when its connection broke, on the
+    # monotonic clock of this host.
     sent_s: float
     ended_s: float
 
 
 class Answer(NamedTuple):
-    """A request has been answered by a server."""
+    """A server's answer to a request."""
 
     subject: Fingerprint
     answered_s: float
 
 
 class RunEndReport(NamedTuple):
-    """An ``RunEnd`` between hosts, whose steady clocks differ."""
+    """A ``RunEnd`` as sent between hosts, whose monotonic clocks differ."""
 
     subject: bytes
     server: str
@@ -104,54 +109,54 @@
 
 
 class AnswerReport(NamedTuple):
-    """An ``Answer`` between hosts."""
+    """An ``Answer`` as sent between hosts."""
 
     subject: bytes
     answered_ago_s: float
 
 
 class PoisonReport(NamedTuple):
-    """What one host tells another of some requests."""
+    """What one host reports to another about some requests."""
 
     ends: tuple[RunEndReport, ...] = ()
     answers: tuple[AnswerReport, ...] = ()
 
 
 class InvalidReportError(ValueError):
-    """What a host tells cannot be true; says where."""
+    """A report contains an impossible value; the message says where."""
 
 
 class _Suspect:
-    """A request that was at work at servers that ended."""
+    """A request that was in flight at servers that ended."""
 
     def __init__(self) -> None:
-        """Knows of no end."""
+        """Starts without ends and answers."""
         self.ends: dict[str, RunEnd] = {}
         self.answered_s = -math.inf
 
 
 class PoisonLedger:
-    """What is remembered of requests, by their subject."""
+    """The recent server ends and answers of requests, by fingerprint."""
 
     def __init__(self, settings: PoisonSettings, clock: clocks.Clock) -> None:
-        """Remembers nothing yet.
+        """Starts empty.
 
         Args:
             settings: When a request counts as poison.
-            clock: For how long ago something was.
+            clock: The clock that ends and answers are timed by.
         """
         self.settings = settings
         self._clock = clock
-        # Both with the newest last.
+        # Both are ordered from the oldest to the newest entry.
         self._suspects: dict[Fingerprint, _Suspect] = {}
         self._answers: dict[Fingerprint, float] = {}
 
     def record_answer_now(self, subject: Fingerprint) -> None:
-        """Remembers that a server has just answered a request."""
+        """Records that a server has just answered a request."""
         self.record_answer(Answer(subject, self._clock.monotonic_s()))
 
     def record_answer(self, answer: Answer) -> None:
-        """Remembers when a request was answered."""
+        """Records when a request was answered."""
         known_s = self._answers.pop(answer.subject, -math.inf)
         self._answers[answer.subject] = max(known_s, answer.answered_s)
         if len(self._answers) > self.settings.answers_max_count:
@@ -161,10 +166,10 @@
             suspect.answered_s = max(suspect.answered_s, answer.answered_s)
 
     def record_end(self, end: RunEnd) -> bool:
-        """Remembers that a run ended under a request.
+        """Records that a server's run ended while a request was in flight.
 
         Returns:
-            Whether that was not known.
+            Whether this end was new.
         """
         suspect = self._suspects.pop(end.subject, None)
         if suspect is None:
@@ -174,20 +179,24 @@
         self._suspects[end.subject] = suspect
         known = suspect.ends.get(end.server)
         if known is not None:
-            # Of several that were at work, the first has gone without an
-            # answer for the longest; and all hosts come to know the same.
+            # If several such requests were in flight, the one sent first has
+            # waited longest for an answer. Keeping that one also makes all
+            # hosts arrive at the same state.
             if end.sent_s < known.sent_s:
                 suspect.ends[end.server] = end
             return False
         suspect.ends[end.server] = end
         if len(suspect.ends) > self.settings.ends_max_count:
-            # Any that are not the newest say nothing more.
+            # Only the newest ends can count.
             oldest = min(suspect.ends.values(), key=lambda each: each.ended_s)
             del suspect.ends[oldest.server]
         return True
 
     def _evict_oldest(self) -> None:
-        """Forgets the oldest suspect; one that is refused, last of all."""
+        """Forgets the oldest suspect if there are too many.
+
+        A suspect that is being refused goes only if all of them are.
+        """
         if len(self._suspects) < self.settings.subjects_max_count:
             return
         for subject in self._suspects:
@@ -197,15 +206,15 @@
         del self._suspects[next(iter(self._suspects))]
 
     def is_nearly_refused(self, subject: Fingerprint) -> bool:
-        """Whether one more end would be enough."""
+        """Whether one more end would make a request poison."""
         return len(self.ends_of(subject)) >= self.settings.ends_max_count - 1
 
     def is_suspect(self, subject: Fingerprint) -> bool:
-        """Whether a server ended under a request, with no answer since."""
+        """Whether a server ended under a request that has no answer since."""
         return bool(self.ends_of(subject))
 
     def refused_for_s(self, subject: Fingerprint) -> float:
-        """Returns for how much longer a request is to be refused; 0 if not."""
+        """Returns how much longer a request is refused; 0 if it is not."""
         suspect = self._suspects.get(subject)
         if suspect is None or len(suspect.ends) < self.settings.ends_max_count:
             return 0.0
@@ -217,7 +226,7 @@
         return max(left_s - self._clock.monotonic_s(), 0.0)
 
     def ends_of(self, subject: Fingerprint) -> list[RunEnd]:
-        """Returns the ends that count: no answer has come since."""
+        """Returns the ends that count: recent, and without an answer since."""
         suspect = self._suspects.get(subject)
         if suspect is None:
             return []
@@ -225,25 +234,25 @@
         return [
             end
             for end in suspect.ends.values()
-            # An answer to a run that began later is as good: whatever ended
-            # the server, it was not the request alone.
+            # An answer to a request that was sent later clears this end too:
+            # whatever ended the server, it was not the request alone.
             if end.sent_s > suspect.answered_s and end.ended_s > from_s
         ]
 
     def _count_blamed(self, suspect: _Suspect, ends: list[RunEnd]) -> int:
-        """Returns how many ends speak against a request."""
+        """Returns how many ends count against a request."""
         first_s = min((end.sent_s for end in ends), default=math.inf)
         if not self._was_answered_before(suspect, first_s):
             return len(ends)
-        own = [end for end in ends if not self._has_likelier_cause(end)]
-        return _count_consecutive(own)
+        unexplained = [end for end in ends if not self._has_likelier_cause(end)]
+        return _count_consecutive(unexplained)
 
     def _was_answered_before(self, suspect: _Suspect, at_s: float) -> bool:
-        """Whether a request was answered shortly before a moment."""
+        """Whether a request was answered shortly before a time."""
         return at_s - suspect.answered_s <= self.settings.recent_answer_s
 
     def _has_likelier_cause(self, end: RunEnd) -> bool:
-        """Whether a run ended under a request that is the likelier cause."""
+        """Whether another request is the likelier cause of an end."""
         return any(
             end.server in other.ends and self._is_likelier_cause(subject)
             for subject, other in self._suspects.items()
@@ -251,7 +260,10 @@
         )
 
     def _is_likelier_cause(self, subject: Fingerprint) -> bool:
-        """Whether servers ended under a request without an answer lately."""
+        """Whether servers ended under a request that was not answered lately.
+
+        That takes at least ``likelier_cause_min_ends`` ends.
+        """
         ends = self.ends_of(subject)
         if len(ends) < self.settings.likelier_cause_min_ends:
             return False
@@ -259,15 +271,15 @@
         return not self._was_answered_before(self._suspects[subject], first_s)
 
     def list_suspects(self) -> list[Fingerprint]:
-        """Returns the requests with ends that count, the newest last."""
+        """Returns the requests with ends that count, in order of age."""
         return [each for each in self._suspects if self.ends_of(each)]
 
     def list_known(self) -> list[Fingerprint]:
-        """Returns all requests that servers ended under, answered or not."""
+        """Returns all requests with remembered ends, answered or not."""
         return list(self._suspects)
 
     def answer_of(self, subject: Fingerprint) -> Answer | None:
-        """Returns when a request was last answered, as far as remembered."""
+        """Returns the last answer to a request, if it is remembered."""
         answered_s = self._answers.get(subject)
         suspect = self._suspects.get(subject)
         if suspect is not None:
@@ -276,16 +288,16 @@
             return None
         return Answer(subject, answered_s)
 
-    # Between hosts.
+    # Reports between hosts.
 
     def build_report(
         self, subjects: Iterable[Fingerprint], ends_max_count: int
     ) -> PoisonReport:
-        """Returns what is known of some requests, as of now.
+        """Returns a report on some requests, with ages as of now.
 
         Args:
             subjects: The requests.
-            ends_max_count: Ends that are told, the last of them.
+            ends_max_count: The most ends in the report; the last are kept.
         """
         now_s = self._clock.monotonic_s()
         subjects = list(subjects)
@@ -308,23 +320,23 @@
             ),
         )
 
-    def merge_report(self, told: PoisonReport) -> list[Fingerprint]:
-        """Takes in what another host knows.
+    def merge_report(self, report: PoisonReport) -> list[Fingerprint]:
+        """Merges a report of another host into the ledger.
 
         Returns:
-            The requests that are refused from now on.
+            The requests that are refused as a result.
 
         Raises:
-            InvalidReportError: It cannot be true; nothing of it is taken in.
+            InvalidReportError: The report is invalid; none of it is merged.
         """
-        validate_report(told)
-        named = {Fingerprint(end.subject) for end in told.ends}
-        passed = [each for each in named if not self.refused_for_s(each)]
+        validate_report(report)
+        reported = {Fingerprint(end.subject) for end in report.ends}
+        unrefused = [each for each in reported if not self.refused_for_s(each)]
         now_s = self._clock.monotonic_s()
-        for answer in told.answers:
+        for answer in report.answers:
             answered_s = now_s - answer.answered_ago_s
             self.record_answer(Answer(Fingerprint(answer.subject), answered_s))
-        for end in told.ends:
+        for end in report.ends:
             self.record_end(
                 RunEnd(
                     Fingerprint(end.subject),
@@ -333,44 +345,46 @@
                     now_s - end.ended_ago_s,
                 )
             )
-        return [each for each in passed if self.refused_for_s(each)]
+        return [each for each in unrefused if self.refused_for_s(each)]
 
     def remove_expired(self) -> None:
-        """Drops what no longer counts."""
+        """Removes requests without ends that count."""
         for subject in list(self._suspects):
             if not self.ends_of(subject):
                 del self._suspects[subject]
 
 
-def validate_report(told: PoisonReport) -> None:
-    """Looks whether what another host tells can be true.
+def validate_report(report: PoisonReport) -> None:
+    """Checks the fingerprints and ages in a report of another host.
 
     Raises:
-        InvalidReportError: It cannot.
+        InvalidReportError: A fingerprint's length or an age is impossible.
     """
-    for number, end in enumerate(told.ends):
+    for number, end in enumerate(report.ends):
         ages_s = (end.sent_ago_s, end.ended_ago_s)
         _check_entry(f"ends[{number}]", end.subject, ages_s)
-    for number, answer in enumerate(told.answers):
-        place = f"answers[{number}]"
-        _check_entry(place, answer.subject, (answer.answered_ago_s,))
+    for number, answer in enumerate(report.answers):
+        location = f"answers[{number}]"
+        _check_entry(location, answer.subject, (answer.answered_ago_s,))
 
 
-def _check_entry(place: str, subject: bytes, ages_s: Iterable[float]) -> None:
-    """Looks whether one entry can be true."""
+def _check_entry(
+    location: str, subject: bytes, ages_s: Iterable[float]
+) -> None:
+    """Checks the fingerprint and the ages of one entry."""
     if len(subject) != FINGERPRINT_BYTES:
         raise InvalidReportError(
-            f"{place}: the subject has {len(subject)} bytes"
+            f"{location}: the subject has {len(subject)} bytes"
         )
     for age_s in ages_s:
         if not math.isfinite(age_s) or age_s < 0:
-            raise InvalidReportError(f"{place}: the age is {age_s} s")
+            raise InvalidReportError(f"{location}: the age is {age_s} s")
 
 
 def _count_consecutive(ends: Iterable[RunEnd]) -> int:
-    """Returns how many ends lie one after the other.
+    """Returns how many ends followed one another.
 
-    Each of them is of a run that got the request after the one before ended.
+    Each run counted received the request after the previous one had ended.
     """
     count = 0
     free_s = -math.inf
