--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -18,7 +18,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
-from bridgecross_core import pulse
+from bridgecross_core import notifier
 from bridgecross_entry import follower as followers
 from bridgecross_entry import journal as journals
 from bridgecross_entry import keymap
@@ -78,7 +78,7 @@
         topic: str,
         follower: followers.Follower,
         lease_manager: leases.LeaseManager,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         loads: load_view.LoadView,
         list_is_fresh: Callable[[], bool],
@@ -130,7 +130,7 @@
         self._ranges: tuple[keymap.KeyRange, ...] = ()
         # The same ranges for fast lookup: each renewal needs two.
         self._range_set: frozenset[keymap.KeyRange] = frozenset()
-        self._wake = pulse.Pulse()
+        self._wake = notifier.Notifier()
         # The first keys of ranges whose move is in progress.
         self._moving: set[int] = set()
         # Ranges that their prior owners no longer hold and whose new owners
@@ -171,7 +171,7 @@
         """Writes a key map that names this instance as the coordinator."""
         begun_s = self._clock.monotonic_s()
         while not self._superseded:
-            if self._may_claim(begun_s) and await self._follower.start_over():
+            if self._may_claim(begun_s) and await self._follower.reload():
                 newest = self._table.newest(self._service)
                 if newest is None:
                     claimed = await self._create_first_map()
@@ -720,4 +720,6 @@
         )
         if key_range.prior_owner:
             self._unrecorded_since_s = self._clock.monotonic_s()
-        self._table.settle(self._service, key_range.token, key_range.first_key)
+        self._table.mark_settled(
+            self._service, key_range.token, key_range.first_key
+        )
--- a/libs/bridgecross-entry/src/bridgecross_entry/draining.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/draining.py
@@ -10,7 +10,7 @@
 """How often it is looked whether all is done: little beside 3 s of draining."""
 
 
-async def wait_for_rest(
+async def wait_until_idle(
     count_requests: Callable[[], int],
     count_coordinated: Callable[[], int],
     close_idle: Callable[[], None],
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -93,7 +93,7 @@
         bounds: model.Bounds,
         lead: Lead,
         client: attempts.LeaseClient,
-        book: servers_lib.ServerBook,
+        book: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -253,7 +253,7 @@
     ) -> None:
         real = clock.SystemClock()
         journal = support.make_journal(real)
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.table = keymap.KeyTable(journal)
--- a/libs/bridgecross-entry/tests/test_draining.py
+++ b/libs/bridgecross-entry/tests/test_draining.py
@@ -32,7 +32,7 @@
 
     begun_s = clock.monotonic_s()
     with anyio.fail_after(1.0):
-        await draining.wait_for_rest(
+        await draining.wait_until_idle(
             lambda: count(requests),
             lambda: count(coordinated),
             close_idle,
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -93,7 +93,7 @@
 
 @pytest.fixture
 def book(clock, lines):
-    made = servers.ServerBook(
+    made = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, lines, clock
     )
     made.put(SERVER)
--- a/libs/bridgecross-entry/tests/test_restarts.py
+++ b/libs/bridgecross-entry/tests/test_restarts.py
@@ -37,7 +37,7 @@
         journal = support.make_journal(real)
         self.log = fakes.MemoryLog()
         self.feed = feeds.Feed(TOPIC)
-        self.book = servers.ServerBook(
+        self.book = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.list = server_list.ServerList(
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -162,13 +162,13 @@
 
 def _believe_the_newest_entry():
     """What an entry says of a server undoes what the server said before."""
-    put = servers.ServerBook.put
+    put = servers.ServerRegistry.put
 
     def undo(self, listed):
         self.notices._leaving_told_s.pop(listed.server_id, None)
         put(self, listed)
 
-    return mock.patch.object(servers.ServerBook, "put", undo)
+    return mock.patch.object(servers.ServerRegistry, "put", undo)
 
 
 def _use_it_for_good():
