--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -372,7 +372,7 @@
         """Probes a silent server; returns whether it is reachable again."""
         reached = False
         with anyio.move_on_after(self._settings.grant_timeout_s):
-            reached = await self._client.reach(server.listed)
+            reached = await self._client.can_connect(server.listed)
         server_id = server.listed.server_id
         if reached:
             self._silent.pop(server_id, None)
