--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -87,8 +87,8 @@
         self.book = servers_lib.ServerRegistry(
             servers_lib.ServerSettings(), self.settings.bounds, journal, clock
         )
-        self.backend_client.on_notice = self.book.notices.hear
-        self.lease_client.on_notice = self.book.notices.hear
+        self.backend_client.on_notice = self.book.notices.record
+        self.lease_client.on_notice = self.book.notices.record
         self.table = keymap.KeyTable(journal)
         self.issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(),
@@ -149,7 +149,9 @@
             journal,
             clock,
         )
-        self.dispatcher.list_heard_s = lambda: self.beliefs.server_list_as_of_s
+        self.dispatcher.server_list_as_of_s = lambda: (
+            self.beliefs.server_list_as_of_s
+        )
         self._certainty = warmups.IssuerCertainty(
             warmups.WarmupSettings(),
             self.settings.peer_address,
