--- a/libs/bridgecross-entry/tests/test_leadership.py
+++ b/libs/bridgecross-entry/tests/test_leadership.py
@@ -326,11 +326,11 @@
 async def test_a_majority_counts_only_once_it_accepted_a_heartbeat():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
-    assert leading.majority_accepted_s == float("inf")
+    assert leading.majority_known_s == float("inf")
     leading.note_relay_round(_make_round(leading.term, 2, accepted=0))
-    assert leading.majority_accepted_s == float("inf")
+    assert leading.majority_known_s == float("inf")
     leading.note_relay_round(_make_round(leading.term, 2, accepted=1))
-    assert leading.majority_accepted_s == manual.now_s
+    assert leading.majority_known_s == manual.now_s
 
 
 def test_weak_machines_come_after_all_others():
@@ -356,9 +356,9 @@
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
     leading.note_relay_round(_make_round(leading.term, 4, accepted=3))
-    assert leading.all_accepted_s == float("inf")
+    assert leading.known_to_all_s == float("inf")
     leading.note_relay_round(_make_round(leading.term, 4, accepted=2, ended=2))
-    assert leading.all_accepted_s == manual.now_s
+    assert leading.known_to_all_s == manual.now_s
 
 
 async def test_a_change_of_confirmation_is_logged():
