--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
@@ -44,7 +44,7 @@
     return runners.RunnerSettings(
         slots_per_server=policy.slots_per_server,
         starvation_share_ratio=policy.starvation_share_ratio,
-        places={
+        tiers={
             tier.name: queueing.QueueTier(
                 tier.name, tier.priority, tier.policy.queue_requests
             )
--- a/libs/bridgecross-request/src/bridgecross_request/__init__.py
+++ b/libs/bridgecross-request/src/bridgecross_request/__init__.py
@@ -1,14 +1,14 @@
-"""The request path: callers, tier queues, dispatch and true outcomes.
+"""The request path: callers, tier queues, dispatch and outcomes.
 
-* ``requests``: a caller's request, and how it travels between instances.
-* ``callers``: who sends a request, and in which tier.
-* ``queueing``: slots of a backend server, given out in order of priority.
+* ``requests``: a caller's request, and its form between instances.
+* ``callers``: identifies the caller of a request and its tier.
+* ``queueing``: a priority queue for the slots of a backend server.
 * ``backends``: sends a request to a backend server.
-* ``intents``: the log's record of requests that may not run twice.
-* ``poison_requests``: requests under which one server after another ends.
-* ``runner``: runs a request on the instance that fronts the owner.
-* ``routing``: takes a request to the front of the key's owner, with retries.
-* ``retries``: a retry budget as a share of the traffic.
+* ``intents``: records in the log for requests that must run at most once.
+* ``poison_requests``: detects requests that crash one server after another.
+* ``runner``: runs a request on the instance that fronts the key's owner.
+* ``routing``: routes a request to the front of the key's owner, with retries.
+* ``retries``: a retry budget that is a share of the traffic.
 """
 
 __all__ = [
--- a/libs/bridgecross-request/src/bridgecross_request/backends.py
+++ b/libs/bridgecross-request/src/bridgecross_request/backends.py
@@ -1,4 +1,7 @@
-"""Sends a request to a backend server and tells what truly became of it."""
+"""Sends a request to a backend server and returns its actual outcome.
+
+The outcome tells a request that certainly did not run from one that may have.
+"""
 
 import dataclasses
 from typing import NamedTuple
@@ -25,22 +28,23 @@
 """The wall-clock time after which the server must not run the request."""
 
 REQUEST_ID_HEADER = b"bridgecross-request-id"
-"""The id of the request, for the server's journal."""
+"""The id of the request, for the server's own logs."""
 
 REFUSED_HEADER = b"bridgecross-refused"
-"""On an answer: the server refused to run the request."""
+"""A header of an answer: the server refused to run the request."""
 
 REFUSED_BY_FENCE = b"fence"
 """The value of ``REFUSED_HEADER`` for a wrong token or no lease."""
 
 REFUSED_TO_SHED = b"shed"
-"""The value of ``REFUSED_HEADER`` for a server that sheds load."""
+"""The value of ``REFUSED_HEADER`` from a server that sheds load."""
 
 REFUSED_AS_LATE = b"deadline"
 """The value of ``REFUSED_HEADER`` for a deadline that has passed."""
 
-_LOOK_TIMEOUT_S = 0.1
-"""Nearby addresses refuse within some ms; a caller waits for the look."""
+_REFUSAL_CHECK_TIMEOUT_S = 0.1
+"""Nearby addresses refuse connections within a few milliseconds, and a caller
+waits while the check runs."""
 
 _RETRY_AFTER_SHED_MS = 200
 
@@ -54,7 +58,10 @@
 
 
 class Limit(NamedTuple):
-    """When a request must be over: on this machine, and for its server."""
+    """The deadline of a request: as remaining time, and as wall-clock time.
+
+    ``left_s`` applies on this machine, ``until_unix_s`` to the server.
+    """
 
     left_s: float
     until_unix_s: float
@@ -63,14 +70,14 @@
 def measure_limit(clock: clocks.Clock, deadline_s: float) -> Limit:
     """Returns the limit of a request.
 
-    The wall clock is read first: a process that is stopped between the two
-    readings then tells the server an earlier time, never a later one. For
-    servers that check no fences nothing else ends the requests of a process
-    that was stopped.
+    The wall clock is read first. A process that is suspended between the two
+    readings then sends the server an earlier deadline, never a later one. For
+    servers that do not check fences, the deadline is all that ends the
+    requests of a process that was suspended.
 
     Args:
-        clock: Both clocks of this machine.
-        deadline_s: The deadline on the monotonic one.
+        clock: The wall clock and the monotonic clock of this machine.
+        deadline_s: The deadline on the monotonic clock.
     """
     wall_s = clock.wall_s()
     left_s = deadline_s - clock.monotonic_s()
@@ -87,17 +94,17 @@
         fence: Fence,
         limit: Limit,
     ) -> outcomes.Outcome:
-        """Sends a request once and returns what became of it.
+        """Sends a request once and returns its outcome.
 
         Args:
             address: The server's ``host:port``.
             request: The request.
-            fence: What the server checks.
-            limit: When it must be over.
+            fence: The tokens that the server checks.
+            limit: The request's deadline.
         """
 
     async def is_refusing(self, address: str) -> bool:
-        """Whether an address refuses connections; sends nothing.
+        """Whether an address refuses connections; no data is sent.
 
         Args:
             address: The server's ``host:port``.
@@ -108,7 +115,7 @@
 class BackendSettings:
     """How the servers of a service are connected to."""
 
-    # Connections to one server.
+    # The most connections to one server.
     connections_per_server: int
     # The largest answer body.
     max_body_bytes: int
@@ -117,10 +124,10 @@
 
 
 class HttpBackend:
-    """A ``Backend`` over HTTP, with one pool of connections a server."""
+    """A ``Backend`` over HTTP, with one connection pool per server."""
 
     def __init__(self, settings: BackendSettings) -> None:
-        """Opens no connection yet."""
+        """Starts without connections."""
         self._settings = settings
         self._pools: dict[str, httpcore.AsyncConnectionPool] = {}
 
@@ -133,8 +140,8 @@
     ) -> outcomes.Outcome:
         """Sends a request once; see ``Backend.send``.
 
-        A connection on which anything went wrong is closed by the pool, so
-        a late answer can never meet another request.
+        The pool closes a connection after any error on it, so a late answer
+        can never be taken for that of another request.
         """
         pool = self._find_pool(address)
         try:
@@ -143,7 +150,7 @@
                 f"http://{address}{request.target}",
                 headers=build_headers(address, request, fence, limit),
                 content=request.body,
-                extensions={"timeout": _split_timeout(limit.left_s)},
+                extensions={"timeout": _make_timeouts(limit.left_s)},
             ) as response:
                 return await self._read_answer(response)
         except (
@@ -164,7 +171,7 @@
     async def is_refusing(self, address: str) -> bool:
         """Whether an address refuses connections; see ``Backend``."""
         host, _, port = address.rpartition(":")
-        with anyio.move_on_after(_LOOK_TIMEOUT_S):
+        with anyio.move_on_after(_REFUSAL_CHECK_TIMEOUT_S):
             try:
                 stream = await anyio.connect_tcp(host, int(port))
             except OSError as error:
@@ -173,7 +180,7 @@
         return False
 
     def replace_settings(self, settings: BackendSettings) -> None:
-        """Puts new settings into force; pools that exist keep their size."""
+        """Replaces the settings; existing pools keep their size."""
         self._settings = settings
 
     async def aclose(self) -> None:
@@ -182,7 +189,7 @@
             await pool.aclose()
 
     def _find_pool(self, address: str) -> httpcore.AsyncConnectionPool:
-        """Returns the pool of a server."""
+        """Returns the connection pool of a server."""
         if address not in self._pools:
             self._pools[address] = httpcore.AsyncConnectionPool(
                 max_connections=self._settings.connections_per_server,
@@ -219,7 +226,7 @@
 def build_headers(
     address: str, request: requests.Request, fence: Fence, limit: Limit
 ) -> list[tuple[bytes, bytes]]:
-    """Returns the headers of a request as its server gets it."""
+    """Returns the headers of a request as sent to its server."""
     return [
         (b"host", address.encode()),
         (b"content-length", b"%d" % len(request.body)),
@@ -232,13 +239,13 @@
     ]
 
 
-def _split_timeout(left_s: float) -> dict[str, float]:
-    """Returns the same limit for each phase that httpcore knows."""
+def _make_timeouts(left_s: float) -> dict[str, float]:
+    """Returns httpcore's timeouts, with the same limit for each phase."""
     return dict.fromkeys(("connect", "read", "write", "pool"), left_s)
 
 
 def _find_header(response: httpcore.Response, wanted: bytes) -> bytes | None:
-    """Returns the value of a header of an answer."""
+    """Returns the value of an answer's header, or None if it is missing."""
     for name, value in response.headers:
         if name.lower() == wanted:
             return bytes(value)
@@ -246,7 +253,7 @@
 
 
 def _describe_refusal(refused: bytes) -> outcomes.NotRun:
-    """Returns the outcome that a server's refusal stands for."""
+    """Returns the outcome for the value of ``REFUSED_HEADER``."""
     if refused == REFUSED_TO_SHED:
         return outcomes.NotRun(
             outcomes.NotRunProof.SHED_BY_SERVER,
--- a/libs/bridgecross-request/src/bridgecross_request/callers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/callers.py
@@ -1,4 +1,4 @@
-"""Who sends a request, and in which tier."""
+"""Identifies the caller of a request and its tier."""
 
 import dataclasses
 import hashlib
@@ -8,35 +8,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Admitted:
-    """A known caller with a place in a tier of the service."""
+    """A known caller that has a tier of the service."""
 
     # The caller's name in the settings.
     caller: str
-    # The tier that the caller has bought.
+    # The caller's tier.
     tier: tree.Tier
 
 
 @dataclasses.dataclass(frozen=True)
 class UnknownCaller:
-    """The credential is missing or belongs to nobody."""
+    """The credential is missing or belongs to no caller."""
 
 
 @dataclasses.dataclass(frozen=True)
 class NoTier:
-    """A known caller has no place in any tier of the service."""
+    """A known caller that has no tier of the service."""
 
     # The caller's name in the settings.
     caller: str
 
 
 Admission = Admitted | UnknownCaller | NoTier
-"""What the settings say of a caller and a service."""
+"""Whether the settings admit a caller to a service."""
 
 
 def find_caller(
     house: tree.House, place: str, service: tree.Service, credential: str
 ) -> Admission:
-    """Returns the caller that a credential belongs to, and its tier."""
+    """Looks up the caller that a credential belongs to, and its tier."""
     digest = hashlib.sha256(credential.encode()).hexdigest()
     caller = house.callers.get(digest)
     if caller is None:
--- a/libs/bridgecross-request/src/bridgecross_request/error_answers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/error_answers.py
@@ -1,26 +1,26 @@
-"""Errors that servers answered with, and whether they lived on.
+"""Error answers of servers, and whether the servers kept running afterwards.
 
-A server that answers a request, if only with an error, does not end under it;
-but one that is ending may give errors to all that is at work. Which of the two
-it was shows when the server answers what it was sent later.
+A server that answers a request, even with an error, did not end under it. But
+a server that is ending may answer all requests in flight with errors. An error
+is therefore confirmed only when the server answers a request sent after it.
 
-Pure bookkeeping, bounded in entries.
+This module does no I/O, and its memory is bounded in entries.
 """
 
 from bridgecross_request import poison_requests
 
 _SERVERS_MAX_COUNT = 128
 _SUBJECTS_MAX_COUNT = 32
-"""For each server, about as many as are at work there for one instance. Those
-that are left out count as not answered."""
+"""The limit for each server, about the number of requests that one instance has
+in flight there. Requests beyond it count as not answered."""
 
 
 class ErrorAnswers:
-    """Errors of servers of which nothing was heard since."""
+    """Error answers of servers that have not answered anything since."""
 
     def __init__(self) -> None:
-        """Knows of none."""
-        # When each request was answered with an error, by the server.
+        """Starts without errors."""
+        # When each request was answered with an error, by server and request.
         self._errors_s: dict[str, dict[poison_requests.Fingerprint, float]] = {}
 
     def note_error(
@@ -29,9 +29,9 @@
         subject: poison_requests.Fingerprint,
         answered_s: float,
     ) -> None:
-        """Remembers that a server answered a request with an error."""
+        """Records that a server answered a request with an error."""
         errors_s = self._errors_s.setdefault(server, {})
-        # The first is the first that can be confirmed.
+        # The first error of a request is kept: it is confirmed soonest.
         errors_s.setdefault(subject, answered_s)
         if len(errors_s) > _SUBJECTS_MAX_COUNT:
             del errors_s[next(iter(errors_s))]
@@ -41,11 +41,11 @@
     def take_confirmed(
         self, server: str, sent_s: float
     ) -> list[poison_requests.Answer]:
-        """Returns the errors after which a server answered something.
+        """Returns and removes the errors that a later answer confirms.
 
         Args:
-            server: The server that has answered, in any way.
-            sent_s: When what it answered was sent.
+            server: The server that answered, with an error or not.
+            sent_s: When the answered request was sent.
         """
         errors_s = self._errors_s.get(server)
         if errors_s is None:
@@ -62,5 +62,5 @@
         return confirmed
 
     def forget(self, server: str) -> None:
-        """Forgets the errors of a server that has ended."""
+        """Removes the errors of a server that has ended."""
         self._errors_s.pop(server, None)
--- a/libs/bridgecross-request/src/bridgecross_request/intents.py
+++ b/libs/bridgecross-request/src/bridgecross_request/intents.py
@@ -1,8 +1,9 @@
-"""The log's record of requests that may not run twice.
+"""Records in the log for requests that must run at most once.
 
-Before the first byte of such a request goes out, its intent is appended to
-the log. The first intent for an idempotency key names the one attempt that
-may run it; every other attempt, on any instance, finds that it came second.
+Before the first byte of such a request is sent, its intent is appended to the
+log. The first intent for an idempotency key wins: its attempt is the only one
+with the right to run the request. Every other attempt, on any instance, finds
+that it came second.
 """
 
 import collections
@@ -23,7 +24,7 @@
 
 
 class Intent(NamedTuple):
-    """An attempt asks for the right to run a request."""
+    """Asks for the right to run a request, on behalf of one attempt."""
 
     service: ids.ServiceName
     caller: str
@@ -31,9 +32,9 @@
 
 
 class IntentReturn(NamedTuple):
-    """An attempt gives its right back: it certainly did not run.
+    """Gives a right back, because the attempt certainly did not run.
 
-    ``won_at`` is the offset of the intent that had won.
+    ``won_at`` is the offset of the intent that won the right.
     """
 
     service: ids.ServiceName
@@ -42,8 +43,8 @@
     won_at: ids.Offset
 
 
-class _Subject(NamedTuple):
-    """What a right is given for."""
+class _RequestKey(NamedTuple):
+    """Identifies a request that must run at most once."""
 
     service: ids.ServiceName
     caller: str
@@ -52,9 +53,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class IntentBookSettings:
-    """How much the book remembers."""
+    """How many intents are remembered."""
 
-    # The newest intents that are remembered; about 400 bytes each.
+    # The newest intents that are remembered, about 400 bytes each.
     capacity: int = 50_000
 
 
@@ -63,62 +64,62 @@
 
 
 class IntentBook:
-    """The fold of the stream of intents."""
+    """The winners among the intents, built from the stream of intents."""
 
     def __init__(self, settings: IntentBookSettings) -> None:
-        """Knows of no intent yet."""
+        """Starts without intents."""
         self._settings = settings
-        self._winners: collections.OrderedDict[_Subject, ids.Offset] = (
+        self._winners: collections.OrderedDict[_RequestKey, ids.Offset] = (
             collections.OrderedDict()
         )
         self._appender: appenders.Appender | None = None
 
     def attach(self, appender: appenders.Appender) -> None:
-        """Names the appender that waits for verdicts."""
+        """Sets the appender that verdicts are reported to."""
         self._appender = appender
 
     def apply(self, record: log_service.StoredRecord) -> None:
-        """Takes the next record; a damaged one gives no right to anybody."""
+        """Applies the next record; a damaged one grants no right."""
         try:
             envelope = log_records.decode_envelope(record.data)
-            verdict = self._judge_body(record.offset, envelope)
+            verdict = self._apply_body(record.offset, envelope)
         except codec.CodecError:
             return
         if self._appender is not None:
             self._appender.report(envelope.record_id, verdict)
 
     def restart(self, first_offset: ids.Offset) -> None:
-        """Goes on after a gap: what is remembered stays true."""
+        """Continues after a gap; the remembered winners remain valid."""
 
-    def _judge_body(
+    def _apply_body(
         self, offset: ids.Offset, envelope: log_records.Envelope
     ) -> appenders.Verdict:
         """Applies an intent or a return."""
         if envelope.kind == RETURN_KIND:
-            return self._take_back(offset, _RETURNS.decode(envelope.body))
+            return self._apply_return(offset, _RETURNS.decode(envelope.body))
         intent = _INTENTS.decode(envelope.body)
-        return self._judge(offset, _Subject(*intent))
+        return self._apply_intent(offset, _RequestKey(*intent))
 
-    def _take_back(
+    def _apply_return(
         self, offset: ids.Offset, returned: IntentReturn
     ) -> appenders.Verdict:
-        """Frees a subject for another attempt."""
-        subject = _Subject(
+        """Withdraws a right, so that another attempt can win it."""
+        request_key = _RequestKey(
             returned.service, returned.caller, returned.idempotency_key
         )
-        if self._winners.get(subject) != returned.won_at:
+        if self._winners.get(request_key) != returned.won_at:
             return appenders.Void(offset, "the right is not the attempt's")
-        del self._winners[subject]
+        del self._winners[request_key]
         return appenders.Applied(offset)
 
-    def _judge(
-        self, offset: ids.Offset, subject: _Subject
+    def _apply_intent(
+        self, offset: ids.Offset, request_key: _RequestKey
     ) -> appenders.Verdict:
-        """Gives the right to the first intent for a subject."""
-        winner = self._winners.get(subject)
+        """Grants the right to the first intent for a request."""
+        winner = self._winners.get(request_key)
         if winner is not None:
             return appenders.Void(offset, f"intent {winner} came first")
-        self._winners[subject] = offset
+        self._winners[request_key] = offset
         while len(self._winners) > self._settings.capacity:
             self._winners.popitem(last=False)
         return appenders.Applied(offset)
@@ -127,18 +128,18 @@
 async def win(
     appender: appenders.Appender, intent: Intent
 ) -> appenders.AppendOutcome:
-    """Asks the log for the right to run a request.
+    """Appends an intent, to win the right to run a request.
 
     Returns:
-        ``Applied`` if the attempt has the right; on anything else it must
-        not run.
+        ``Applied`` if the attempt won the right. With any other outcome it
+        must not run the request.
     """
     return await appender.append(INTENT_KIND, _INTENTS.encode(intent))
 
 
-async def give_back(
+async def return_right(
     appender: appenders.Appender, intent: Intent, won_at: ids.Offset
 ) -> appenders.AppendOutcome:
-    """Gives the right back after the request was certainly not run."""
+    """Gives a right back after the request certainly did not run."""
     returned = IntentReturn(*intent, won_at)
     return await appender.append(RETURN_KIND, _RETURNS.encode(returned))
--- a/libs/bridgecross-request/src/bridgecross_request/requests.py
+++ b/libs/bridgecross-request/src/bridgecross_request/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, and how it travels between instances."""
+"""A caller's request, and its form when one instance forwards it to another."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
         b"traceparent",
     }
 )
-"""The headers of a request or an answer that pass through unchanged."""
+"""The headers of requests and answers that are forwarded unchanged."""
 
 
 class RequestHeader(NamedTuple):
@@ -30,7 +30,7 @@
     """A request of a known caller.
 
     ``deadline_s`` is on this process's monotonic clock. ``idempotency_key``
-    is empty unless the request is one that may not run twice.
+    is empty unless the request must run at most once.
     """
 
     request_id: str
@@ -47,16 +47,16 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether running the request twice does no harm."""
+        """Whether the request may safely run more than once."""
         return not self.idempotency_key and self.method in IDEMPOTENT_METHODS
 
 
 class WireRequest(NamedTuple):
     """A request as one instance forwards it to another.
 
-    Monotonic clocks do not compare between processes, so the deadline travels
-    as the time that is left. ``head`` is the sender's newest record of the
-    service: the receiver first reads as far.
+    Monotonic clocks of different processes cannot be compared, so the deadline
+    is sent as the remaining time. ``head`` is the sender's newest record of the
+    service: the receiver first reads the log up to that record.
     """
 
     request_id: str
@@ -74,7 +74,7 @@
 
 
 def to_wire(request: Request, now_s: float, head: ids.Offset) -> WireRequest:
-    """Returns a request ready to be forwarded."""
+    """Returns a request in the form in which it is forwarded."""
     return WireRequest(
         request_id=request.request_id,
         service=request.service,
@@ -92,7 +92,7 @@
 
 
 def from_wire(wire: WireRequest, now_s: float) -> Request:
-    """Returns a forwarded request with its deadline on this clock."""
+    """Returns a forwarded request with its deadline on the local clock."""
     return Request(
         request_id=wire.request_id,
         service=wire.service,
--- a/libs/bridgecross-request/src/bridgecross_request/routing.py
+++ b/libs/bridgecross-request/src/bridgecross_request/routing.py
@@ -1,4 +1,4 @@
-"""Takes a request to the front of the key's owner, with retries."""
+"""Routes a request to the front of the key's owner, with retries."""
 
 import random
 from typing import NamedTuple
@@ -24,23 +24,23 @@
 
 
 class LocalRunner(Protocol):
-    """Runs requests whose owner this instance fronts."""
+    """Runs requests whose key's owner this instance fronts."""
 
     async def run(self, request: requests.Request) -> outcomes.Outcome:
         """Runs a request once."""
 
 
 class Forwarder(Protocol):
-    """Takes requests to other instances."""
+    """Forwards requests to other instances."""
 
     async def forward(
         self, instance: ids.InstanceId, request: requests.Request
     ) -> outcomes.Outcome:
-        """Has another instance run a request once."""
+        """Asks another instance to run a request once."""
 
 
 class RouterPorts(NamedTuple):
-    """What a router works with.
+    """The dependencies of a router.
 
     ``changed`` is notified whenever the cell changes.
     """
@@ -56,7 +56,7 @@
 
 
 class _Route(NamedTuple):
-    """Where a request has to go, by the newest record read."""
+    """The owner of a key and its front, by the newest record read."""
 
     server: ids.ServerId
     front: cells.FrontState
@@ -66,19 +66,20 @@
     """One attempt on another instance."""
 
     def __init__(self, front: ids.InstanceId) -> None:
-        """Has not ended."""
+        """Starts as a running attempt."""
         self.front = front
-        # What became of it; None while it goes on.
+        # The attempt's outcome; None while it is running.
         self.outcome: outcomes.Outcome | None = None
 
 
 class _Forwards:
     """The attempts of one request on other instances.
 
-    One whose front the log replaces goes on: that front may be alive, and its
-    answer is as good as any. Broken off, a request that has run would be told
-    as one that may have, and all that a front had in hand would at once ask
-    for the few retries that are allowed.
+    An attempt continues when the log replaces its front: that front may be
+    alive, and its answer is as good as any other. If the attempt were
+    cancelled, a request that did run would be reported as one that may have
+    run, and all requests in flight at that front would compete at once for the
+    few retries that are allowed.
     """
 
     def __init__(
@@ -87,19 +88,19 @@
         request: requests.Request,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        """Has none yet."""
-        # Why one of those that have ended may have run; None if none may.
-        self.doubt: outcomes.Unknown | None = None
+        """Starts without attempts."""
+        # The outcome of an ended attempt that may have run; None if none may.
+        self.possibly_run: outcomes.Unknown | None = None
         self._forwarder = forwarder
         self._request = request
         self._tasks = tasks
         self._running: list[_Forward] = []
-        # Those that have ended and that nobody has looked at.
+        # Attempts that have ended and that ``wait_end`` has not returned.
         self._ended: list[_Forward] = []
         self._changed = notifier.Notifier()
 
     def start(self, front: ids.InstanceId) -> _Forward:
-        """Begins an attempt."""
+        """Starts an attempt."""
         forward = _Forward(front)
         self._running.append(forward)
         self._tasks.start_soon(self._run, forward)
@@ -113,17 +114,20 @@
         return self._ended.pop(0) if self._ended else None
 
     def describe_running(self) -> outcomes.Unknown | None:
-        """Returns what is told of attempts that have not ended, if any."""
+        """Returns the outcome at the deadline of attempts still running.
+
+        It is None if none is running.
+        """
         if not self._running:
             return None
         front = self._running[-1].front
         return outcomes.Unknown(f"{front} did not answer before the deadline")
 
     async def _run(self, forward: _Forward) -> None:
-        """Carries out an attempt."""
+        """Forwards the request and records the outcome of the attempt."""
         outcome = await self._forwarder.forward(forward.front, self._request)
         if isinstance(outcome, outcomes.Unknown):
-            self.doubt = outcome
+            self.possibly_run = outcome
         forward.outcome = outcome
         self._running.remove(forward)
         self._ended.append(forward)
@@ -136,25 +140,25 @@
     def __init__(
         self, settings: retries.RetrySettings, ports: RouterPorts
     ) -> None:
-        """Has the whole retry budget.
+        """Starts with a full retry budget.
 
         Args:
             settings: The service's retry settings.
-            ports: What the router works with.
+            ports: The router's dependencies.
         """
         self._budget = retries.RetryBudget(settings)
         self._ports = ports
 
     def replace_settings(self, settings: retries.RetrySettings) -> None:
-        """Puts new retry settings into force."""
+        """Replaces the retry settings."""
         self._budget.settings = settings
 
     async def handle(self, request: requests.Request) -> outcomes.Outcome:
-        """Takes a request to its owner and returns what became of it.
+        """Routes a request to its key's owner and returns the outcome.
 
-        A request that was certainly not run, or that may be repeated, is
-        tried again while its deadline and the retry budget allow. It counts
-        as not run only if no attempt at all may have run.
+        A request that certainly did not run, or that may be repeated, is
+        retried while its deadline and the retry budget allow. It counts as
+        not run only if none of its attempts may have run.
         """
         self._budget.earn()
         async with anyio.create_task_group() as tasks:
@@ -166,8 +170,8 @@
     async def _try_routes(
         self, request: requests.Request, forwards: _Forwards
     ) -> outcomes.Outcome:
-        """Tries one route after another."""
-        doubt: outcomes.Unknown | None = None
+        """Makes attempts until one ends the request or none is allowed."""
+        possibly_run: outcomes.Unknown | None = None
         attempt = 1
         last: outcomes.Outcome = _no_owner()
         while self._left_s(request) > 0:
@@ -182,12 +186,12 @@
                     await self._back_off(request, last, attempt)
                     attempt += 1
                     continue
-                ended = await self._await_replaced(request, forwards)
+                ended = await self._wait_for_replaced_front(request, forwards)
             if ended is None:
                 break
             last = ended
             if isinstance(last, outcomes.Unknown):
-                doubt = last
+                possibly_run = last
             if self._is_stale_route(last):
                 await self._wait_for_change(request, _REROUTE_PAUSE_S)
                 continue
@@ -195,41 +199,51 @@
                 break
             await self._back_off(request, last, attempt)
             attempt += 1
-        return await self._conclude(request, last, doubt, forwards)
+        return await self._determine_outcome(
+            request, last, possibly_run, forwards
+        )
 
-    async def _await_replaced(
+    async def _wait_for_replaced_front(
         self, request: requests.Request, forwards: _Forwards
     ) -> outcomes.Outcome | None:
-        """Returns what a front that was replaced answers after all."""
+        """Returns an outcome that a replaced front still delivers, if any."""
         forward = await forwards.wait_end(self._left_s(request))
         return None if forward is None else forward.outcome
 
-    async def _conclude(
+    async def _determine_outcome(
         self,
         request: requests.Request,
         last: outcomes.Outcome,
-        doubt: outcomes.Unknown | None,
+        possibly_run: outcomes.Unknown | None,
         forwards: _Forwards,
     ) -> outcomes.Outcome:
-        """Returns the truth; what is under way may still be answered."""
+        """Returns the request's outcome over all of its attempts.
+
+        Attempts that are still running may yet be answered in time.
+        """
         if isinstance(last, outcomes.Answered):
             return last
         while forward := await forwards.wait_end(self._left_s(request)):
             if isinstance(forward.outcome, outcomes.Answered):
                 return forward.outcome
-        return doubt or forwards.doubt or forwards.describe_running() or last
+        return (
+            possibly_run
+            or forwards.possibly_run
+            or forwards.describe_running()
+            or last
+        )
 
     async def _wait_for_change(
         self, request: requests.Request, longest_s: float
     ) -> None:
-        """Waits for a record of the service, within the deadline."""
+        """Waits for a change of the cell, at most until the deadline."""
         left_s = max(self._left_s(request), 0.0)
         await self._ports.changed.wait(min(longest_s, left_s))
 
     async def _back_off(
         self, request: requests.Request, outcome: outcomes.Outcome, attempt: int
     ) -> None:
-        """Writes a retry to the time line and pauses before it."""
+        """Records a retry on the timeline and pauses before it."""
         reason = (
             "" if isinstance(outcome, outcomes.Answered) else outcome.reason
         )
@@ -253,7 +267,7 @@
     async def _try_route(
         self, request: requests.Request, route: _Route, forwards: _Forwards
     ) -> outcomes.Outcome | None:
-        """Tries a route once; None if its front was replaced meanwhile."""
+        """Makes one attempt; returns None if its front was replaced."""
         if route.front.front == self._ports.me:
             return await self._ports.runner.run(request)
         if not request.may_repeat:
@@ -265,14 +279,14 @@
     async def _forward_while_current(
         self, request: requests.Request, route: _Route, forwards: _Forwards
     ) -> outcomes.Outcome | None:
-        """Forwards a repeatable request, and waits while its front stands.
+        """Forwards a repeatable request and waits until its front is replaced.
 
-        A front that is frozen never answers. Once the log names another, a
-        request that may be repeated need not wait for it alone.
+        A frozen front never answers. Once the log names another front, a
+        request that may be repeated does not have to wait for the old one.
 
         Returns:
-            What became of it, or an answer to an earlier attempt; None if the
-            front was replaced or the deadline has passed.
+            The outcome, or an answer to an earlier attempt; None if the front
+            was replaced or the deadline has passed.
         """
         outcome: outcomes.Outcome | None = None
         forward = forwards.start(route.front.front)
@@ -294,7 +308,7 @@
         route: _Route,
         scope: anyio.CancelScope,
     ) -> None:
-        """Cancels a scope once the log names another front."""
+        """Cancels a scope once the log names another front for the server."""
         await self._ports.changed.wait_until(
             lambda: self._ports.cell.fronts.get(route.server) != route.front,
             self._left_s(request),
@@ -302,7 +316,7 @@
         scope.cancel()
 
     def _is_stale_route(self, outcome: outcomes.Outcome) -> bool:
-        """Returns whether only the view of the log was old."""
+        """Returns whether an attempt failed only by an outdated view."""
         return (
             isinstance(outcome, outcomes.NotRun)
             and outcome.reroute
@@ -315,7 +329,7 @@
         outcome: outcomes.Outcome,
         attempt: int,
     ) -> bool:
-        """Returns whether to try again, and takes it off the budget."""
+        """Returns whether to retry; a retry is taken off the budget."""
         if isinstance(outcome, outcomes.Answered):
             return False
         if isinstance(outcome, outcomes.NotRun) and not outcome.reroute:
@@ -329,12 +343,12 @@
         return self._budget.spend()
 
     def _left_s(self, request: requests.Request) -> float:
-        """Returns the time before a request's deadline."""
+        """Returns the time until a request's deadline."""
         return request.deadline_s - self._ports.clock.monotonic_s()
 
 
 def _describe_replaced(route: _Route) -> outcomes.Unknown:
-    """Returns what is known of an attempt whose front was replaced."""
+    """Returns the outcome of an attempt whose front was replaced."""
     return outcomes.Unknown(
         f"{route.front.front} did not answer before it was replaced"
     )
--- a/libs/bridgecross-request/src/bridgecross_request/runner.py
+++ b/libs/bridgecross-request/src/bridgecross_request/runner.py
@@ -38,19 +38,19 @@
     slots_per_server: int
     # The share of slots that goes to the lowest waiting tier.
     starvation_share_ratio: float
-    # How each tier stands in the queue, by the tier's name.
-    places: dict[str, queueing.QueueTier]
+    # The priority and queue limit of each tier, by the tier's name.
+    tiers: dict[str, queueing.QueueTier]
 
 
 class AddressBook(Protocol):
-    """Knows where the backend servers are."""
+    """Looks up the addresses of backend servers."""
 
     def find_address(self, server: ids.ServerId) -> str | None:
         """Returns a server's ``host:port``, or None if it is unknown."""
 
 
 class BackupForwarder(Protocol):
-    """Takes requests to the fronts of backups on other instances."""
+    """Forwards requests to the fronts of backup servers on other instances."""
 
     async def forward_to_backup(
         self,
@@ -58,11 +58,11 @@
         request: requests.Request,
         takeover: releases.Takeover,
     ) -> outcomes.Outcome:
-        """Has another instance run a request at the backup that it fronts."""
+        """Asks another instance to run a request at a backup that it fronts."""
 
 
 class RunnerPorts(NamedTuple):
-    """What a runner works with."""
+    """The dependencies of a runner."""
 
     cell: cells.Cell
     fronts: front_sets.Fronts
@@ -72,14 +72,14 @@
     backups: BackupForwarder
     me: ids.InstanceId
     clock: clocks.Clock
-    # What is known of requests that servers ended under, and who is told of
-    # a request of which more is known.
+    # The record of requests that servers ended under, and a callback that
+    # reports a request to the other instances when its record changed.
     ledger: poison_requests.PoisonLedger
     tell_others: Callable[[poison_requests.Fingerprint], None]
 
 
 class _Attempt(NamedTuple):
-    """A request at the owner that it was found to have."""
+    """A request, and the owner of its key's slice when it was looked up."""
 
     request: requests.Request
     manager: lease_manager.LeaseManager
@@ -91,23 +91,23 @@
     """Runs requests of one service whose owner this instance fronts."""
 
     def __init__(self, settings: RunnerSettings, ports: RunnerPorts) -> None:
-        """Has run nothing yet.
+        """Starts without queues.
 
         Args:
             settings: The service's settings.
-            ports: What the runner works with.
+            ports: The runner's dependencies.
         """
         self._settings = settings
         self._ports = ports
         self.queues: dict[ids.ServerId, queueing.TierQueue] = {}
-        # When servers were last seen to have ended.
+        # When each server was last seen to have ended.
         self._ended_s: dict[ids.ServerId, float] = {}
         self._errors = error_answers.ErrorAnswers()
-        # Requests by tier that wait for an owner able to serve or for a slot.
+        # Requests by tier that wait until the owner can serve, or for a slot.
         self.waiting: collections.Counter[str] = collections.Counter()
 
     def replace_settings(self, settings: RunnerSettings) -> None:
-        """Puts new settings into force, in existing queues as well."""
+        """Replaces the settings, in existing queues as well."""
         self._settings = settings
         for queue in self.queues.values():
             queue.settings = self._queue_settings()
@@ -119,12 +119,12 @@
             return refusal
         cell = self._ports.cell
         if not cell.slices:
-            return _stale("the service has no slices yet")
+            return _refuse_stale("the service has no slices yet")
         index = hashing.find_slice(request.key, len(cell.slices))
         state = cell.slices[index]
         manager = self._ports.fronts.find(state.server)
         if manager is None:
-            return _stale("this instance does not front the key's owner")
+            return _refuse_stale("this instance does not front the key's owner")
         token = manager.find_grant_token(index)
         if token is None:
             return await self._run_at_backup(request, manager, index)
@@ -136,25 +136,28 @@
     async def run_takeover(
         self, request: requests.Request, takeover: releases.Takeover
     ) -> outcomes.Outcome:
-        """Runs a request at the backup of its key's owner, fronted here."""
+        """Runs a request at the backup of its key's owner.
+
+        This instance is the front of the backup.
+        """
         refusal = self._refuse_poison(request)
         if refusal is not None:
             return refusal
         front = self._ports.cell.fronts.get(takeover.owner)
         manager = self._ports.fronts.find(front.backup) if front else None
         if manager is None or not manager.take_over(takeover):
-            return _stale("this instance knows of no such heir")
+            return _refuse_stale("this instance knows of no such heir")
         index = takeover.slice
         token = manager.find_grant_token(index)
         if token is None:
-            return _stale("the heir may not act any more")
+            return _refuse_stale("the heir may not act any more")
         attempt = _Attempt(request, manager, index, token)
         if await self._wait_open(attempt):
             return await self._run_queued(attempt)
-        return self._describe_closed(attempt)
+        return self._describe_not_served(attempt)
 
     async def _wait_open(self, attempt: _Attempt) -> bool:
-        """Waits until the owner may serve; returns whether it may."""
+        """Waits until the owner may serve the slice; returns whether it may."""
         request = attempt.request
         self.waiting[request.tier] += 1
         try:
@@ -170,12 +173,12 @@
         manager: lease_manager.LeaseManager,
         index: ids.SliceIndex,
     ) -> outcomes.Outcome:
-        """Has the backup of a server that cannot act run a request."""
+        """Runs a request at the backup of a server that cannot act."""
         takeover = manager.hand_over(index)
         front = self._ports.cell.fronts.get(manager.front.backup)
         if takeover is None or front is None:
             token = manager.find_grant_token(index)
-            return self._describe_closed(
+            return self._describe_not_served(
                 _Attempt(request, manager, index, token or ids.NO_TOKEN)
             )
         if front.front == self._ports.me:
@@ -185,31 +188,33 @@
         )
 
     async def _run_queued(self, attempt: _Attempt) -> outcomes.Outcome:
-        """Waits for a slot of the owner and runs the request in it."""
+        """Waits for one of the owner's slots and runs the request in it."""
         request = attempt.request
         queue = self._find_queue(attempt.manager.server)
-        place = self._find_place(request.tier)
+        tier = self._find_tier(request.tier)
         self.waiting[request.tier] += 1
         try:
-            due = queueing.Deadlines(request.deadline_s, request.deadline_s)
-            answer = await queue.acquire(place, due)
+            deadlines = queueing.Deadlines(
+                request.deadline_s, request.deadline_s
+            )
+            slot = await queue.acquire(tier, deadlines)
         finally:
             self.waiting[request.tier] -= 1
-        if isinstance(answer, queueing.Refused):
+        if isinstance(slot, queueing.Refused):
             return outcomes.NotRun(
                 outcomes.NotRunProof.REFUSED_BY_ADMISSION,
-                answer.reason,
-                retry_after_ms=answer.retry_after_ms,
+                slot.reason,
+                retry_after_ms=slot.retry_after_ms,
             )
         started_s = self._ports.clock.monotonic_s()
         try:
             return await self._run_in_slot(attempt)
         finally:
             held_s = self._ports.clock.monotonic_s() - started_s
-            queue.release(held_s, place)
+            queue.release(held_s, tier)
 
     async def _run_in_slot(self, attempt: _Attempt) -> outcomes.Outcome:
-        """Wins the intent if one is needed, and sends the request."""
+        """Sends the request, after winning its intent if it needs one."""
         if not attempt.request.idempotency_key:
             return await self._send(attempt)
         request = attempt.request
@@ -218,10 +223,12 @@
         )
         right = await intents.win(self._ports.intents, intent)
         if not isinstance(right, appenders.Applied):
-            return _describe_no_right(right)
+            return _describe_lost_intent(right)
         outcome = await self._send(attempt)
         if isinstance(outcome, outcomes.NotRun):
-            await intents.give_back(self._ports.intents, intent, right.offset)
+            await intents.return_right(
+                self._ports.intents, intent, right.offset
+            )
         return outcome
 
     async def _send(self, attempt: _Attempt) -> outcomes.Outcome:
@@ -229,18 +236,18 @@
         manager = attempt.manager
         address = self._ports.addresses.find_address(manager.server)
         if address is None:
-            return _stale("the owner's address is not known")
-        # Taken before the check: if the process is stopped after it, the
-        # server is told a deadline that has passed.
+            return _refuse_stale("the owner's address is not known")
+        # Computed before the check. If the process is suspended after the
+        # check, the deadline sent to the server has passed by then.
         limit = backends.measure_limit(
             self._ports.clock, attempt.request.deadline_s
         )
         refusal = self._refuse_poison(attempt.request)
         if refusal is not None:
             return refusal
-        # Checked last: nothing is awaited between the check and the send.
+        # This check is last: nothing is awaited between it and the send.
         if not manager.is_open(attempt.slice, attempt.token):
-            return _stale("the owner changed while the request waited")
+            return _refuse_stale("the owner changed while the request waited")
         fence = backends.Fence(
             attempt.slice, attempt.token, manager.front.token
         )
@@ -255,14 +262,14 @@
                 over_at_s = 0.0
         finally:
             manager.end_request(attempt.slice, over_at_s)
-        await self._remember(attempt, address, sent_s, outcome)
+        await self._record_outcome(attempt, address, sent_s, outcome)
         return outcome
 
     def _refuse_poison(
         self, request: requests.Request
     ) -> outcomes.NotRun | None:
-        """Refuses a request that ended every server it was sent to."""
-        left_s = self._ports.ledger.refused_for_s(_name_subject(request))
+        """Refuses a poison request; returns None for any other."""
+        left_s = self._ports.ledger.refused_for_s(_compute_fingerprint(request))
         if not left_s:
             return None
         return outcomes.NotRun(
@@ -271,19 +278,19 @@
             retry_after_ms=math.ceil(left_s * 1_000),
         )
 
-    async def _remember(
+    async def _record_outcome(
         self,
         attempt: _Attempt,
         address: str,
         sent_s: float,
         outcome: outcomes.Outcome,
     ) -> None:
-        """Remembers an answer, or that the server ended under the request."""
+        """Records an answer, or that the server ended under the request."""
         ports = self._ports
-        subject = _name_subject(attempt.request)
+        subject = _compute_fingerprint(attempt.request)
         if isinstance(outcome, outcomes.Answered):
             server = attempt.manager.server
-            self._take_answered(server, subject, sent_s, outcome.status)
+            self._record_server_answer(server, subject, sent_s, outcome.status)
             return
         ended_s = ports.clock.monotonic_s()
         is_late = ended_s >= attempt.request.deadline_s
@@ -291,62 +298,70 @@
             return
         if await ports.backend.is_refusing(address):
             self._errors.forget(attempt.manager.server)
-            run = self._name_run(attempt.manager.server, sent_s, ended_s)
+            run = self._make_run_id(attempt.manager.server, sent_s, ended_s)
             end = poison_requests.RunEnd(subject, run, sent_s, ended_s)
             if ports.ledger.record_end(end):
                 ports.tell_others(subject)
 
-    def _take_answered(
+    def _record_server_answer(
         self,
         server: ids.ServerId,
         subject: poison_requests.Fingerprint,
         sent_s: float,
         status: int,
     ) -> None:
-        """Remembers that a server answered, which may be ending."""
+        """Records that a server answered.
+
+        An error is recorded only once the server has answered a request sent
+        after it, because a server that is ending may answer with errors.
+        """
         now_s = self._ports.clock.monotonic_s()
         for answer in self._errors.take_confirmed(server, sent_s):
-            self._take_answer(answer)
+            self._record_answer(answer)
         if status < _FIRST_ERROR_STATUS:
-            self._take_answer(poison_requests.Answer(subject, now_s))
+            self._record_answer(poison_requests.Answer(subject, now_s))
         else:
             self._errors.note_error(server, subject, now_s)
 
-    def _take_answer(self, answer: poison_requests.Answer) -> None:
-        """Remembers that a server ran a request, and lived."""
+    def _record_answer(self, answer: poison_requests.Answer) -> None:
+        """Records that a server ran a request and kept running."""
         was_suspect = self._ports.ledger.is_suspect(answer.subject)
         self._ports.ledger.record_answer(answer)
         if was_suspect:
             self._ports.tell_others(answer.subject)
 
-    def _name_run(
+    def _make_run_id(
         self, server: ids.ServerId, sent_s: float, ended_s: float
     ) -> str:
-        """Names a server's run by its end, the same for all at work then."""
+        """Returns the id of a server's run that ended.
+
+        It contains the time of the end, and is the same for all requests that
+        were in flight then.
+        """
         if sent_s >= self._ended_s.get(server, -math.inf):
             self._ended_s[server] = ended_s
         ended_ms = int(self._ended_s[server] * 1_000)
         return f"{server}/{self._ports.me}/{ended_ms}"
 
-    def _describe_closed(self, attempt: _Attempt) -> outcomes.NotRun:
-        """Returns the outcome when the owner did not become able to serve."""
+    def _describe_not_served(self, attempt: _Attempt) -> outcomes.NotRun:
+        """Returns the outcome if the owner could not serve in time."""
         if attempt.manager.find_grant_token(attempt.slice) != attempt.token:
-            return _stale("the owner changed while the request waited")
+            return _refuse_stale("the owner changed while the request waited")
         return outcomes.NotRun(
             outcomes.NotRunProof.REFUSED_BY_ADMISSION,
             "no server can serve the key at the moment",
             retry_after_ms=_NO_OWNER_RETRY_MS,
         )
 
-    def _find_place(self, tier: str) -> queueing.QueueTier:
-        """Returns how a tier stands; an unknown one stands last."""
-        places = self._settings.places
-        if tier in places:
-            return places[tier]
-        return max(places.values(), key=lambda place: place.priority)
+    def _find_tier(self, name: str) -> queueing.QueueTier:
+        """Returns a tier by name, or the lowest tier if it is unknown."""
+        tiers = self._settings.tiers
+        if name in tiers:
+            return tiers[name]
+        return max(tiers.values(), key=lambda tier: tier.priority)
 
     def _find_queue(self, server: ids.ServerId) -> queueing.TierQueue:
-        """Returns the queue in front of a server."""
+        """Returns the queue of a server."""
         if server not in self.queues:
             self.queues[server] = queueing.TierQueue(
                 self._queue_settings(), self._ports.clock
@@ -358,18 +373,20 @@
         return queueing.QueueSettings(
             slots=self._settings.slots_per_server,
             starvation_share_ratio=self._settings.starvation_share_ratio,
-            # Answers are worth nothing after the only time that is known.
+            # No request is late here: its target time is its deadline.
             late_slots=self._settings.slots_per_server,
             first_guess_s=_FIRST_GUESS_S,
         )
 
     def _left_s(self, request: requests.Request) -> float:
-        """Returns the time before a request's deadline, never below 0."""
+        """Returns the time until a request's deadline, at least 0."""
         return max(request.deadline_s - self._ports.clock.monotonic_s(), 0.0)
 
 
-def _name_subject(request: requests.Request) -> poison_requests.Fingerprint:
-    """Returns what a request is known by, whatever its id."""
+def _compute_fingerprint(
+    request: requests.Request,
+) -> poison_requests.Fingerprint:
+    """Returns the fingerprint of a request."""
     return poison_requests.compute_fingerprint(
         request.service,
         request.method.encode(),
@@ -378,8 +395,11 @@
     )
 
 
-def _stale(reason: str) -> outcomes.NotRun:
-    """Returns the outcome of a request that met an old view of the log."""
+def _refuse_stale(reason: str) -> outcomes.NotRun:
+    """Returns the outcome of a request routed by an outdated view of the log.
+
+    The request may be routed again.
+    """
     return outcomes.NotRun(
         outcomes.NotRunProof.REFUSED_BY_ADMISSION,
         reason,
@@ -388,7 +408,7 @@
     )
 
 
-def _describe_no_right(
+def _describe_lost_intent(
     right: appenders.AppendOutcome,
 ) -> outcomes.Outcome:
     """Returns the outcome of an attempt that did not win its intent."""
