--- a/libs/bridgecross-request/tests/test_backends.py
+++ b/libs/bridgecross-request/tests/test_backends.py
@@ -1,9 +1,10 @@
-"""A stop between two readings of the clocks gives a server no more time.
+"""A suspension between two clock readings must not extend a deadline.
 
-A server that checks no fences is protected by the deadline alone: once a key
-has moved, the requests of an instance that stood still must be over. That
-instance took what was left from one clock and added it to another one later; a
-stop in between made the deadline later by as much.
+A server that does not check fences is protected by the deadline alone: once a
+key has moved, the requests of an instance that was suspended must have ended.
+The instance used to compute the remaining time on one clock and add it to
+another clock later, so a suspension in between extended the deadline by its
+length.
 """
 
 import time
@@ -20,7 +21,7 @@
 
 
 class StoppingClock:
-    """Two clocks that go on, and a stop before one of their readings."""
+    """Two clocks, with a suspension before one of their readings."""
 
     def __init__(self, stops_before: int) -> None:
         self.readings_count = 0
@@ -55,8 +56,8 @@
     limit = backends.Limit(2.0, time.time() - 5.0)
     fence = backends.Fence(3, 5, 7)
     headers = dict(backends.build_headers("server:1", _request(), fence, limit))
-    told_ms = int(headers[backends.DEADLINE_HEADER])
-    assert told_ms == int(limit.until_unix_s * 1_000)
+    sent_ms = int(headers[backends.DEADLINE_HEADER])
+    assert sent_ms == int(limit.until_unix_s * 1_000)
 
 
 def _request():
--- a/libs/bridgecross-request/tests/test_intents.py
+++ b/libs/bridgecross-request/tests/test_intents.py
@@ -9,7 +9,7 @@
 
 
 class _Verdicts:
-    """Stands in for the appender that waits for verdicts."""
+    """A fake appender that collects verdicts."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, appender.Verdict] = {}
--- a/libs/bridgecross-request/tests/test_poison_requests.py
+++ b/libs/bridgecross-request/tests/test_poison_requests.py
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     def __init__(self) -> None:
         self.now_s = 1_000.0
@@ -22,7 +22,7 @@
 
 
 class Scene:
-    """A ledger, and what happened up to now."""
+    """A ledger with a clock, to which ends and answers are added."""
 
     def __init__(self, **settings: object) -> None:
         self.clock = Clock()
@@ -31,7 +31,7 @@
         )
 
     def end(self, server: str, sent_s: float, ended_s: float) -> None:
-        """A run ended; times count from the start of the test."""
+        """Records the end of a run; times count from the start of the test."""
         end = poison_requests.RunEnd(
             SUBJECT, server, 1_000 + sent_s, 1_000 + ended_s
         )
@@ -155,7 +155,7 @@
         pytest.param((*REQUEST[:2], b"/" + b"a" * 16_384, b""), id="longest"),
     ],
 )
-def test_a_request_is_known_by_what_it_asks_for(other):
+def test_a_fingerprint_covers_host_method_target_and_body(other):
     subject = poison_requests.compute_fingerprint(*REQUEST)
     assert subject == poison_requests.compute_fingerprint(*REQUEST)
     assert subject != poison_requests.compute_fingerprint(*other)
@@ -196,7 +196,7 @@
         ),
     ],
 )
-def test_a_request_answered_lately_pays_for_no_other(
+def test_ends_that_another_request_explains_do_not_count(
     others, other_answers, answers, refused
 ):
     for others_first in (False, True):
@@ -216,7 +216,7 @@
         assert scene.is_refused == refused
 
 
-def test_of_several_at_work_at_a_run_the_first_counts():
+def test_of_several_requests_in_flight_the_first_sent_counts():
     scene = Scene()
     scene.clock.now_s += 10
     scene.answer(0.05)
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "problem"),
+    ("report", "problem"),
     [
         (
             poison_requests.PoisonReport(
@@ -254,9 +254,9 @@
         ),
     ],
 )
-def test_told_subjects_of_a_wrong_length_are_refused(told, problem):
+def test_fingerprints_of_a_wrong_length_are_refused(report, problem):
     scene = Scene()
     with pytest.raises(poison_requests.InvalidReportError) as caught:
-        scene.ledger.merge_report(told)
+        scene.ledger.merge_report(report)
     assert problem in str(caught.value)
     assert scene.ledger.list_known() == []
--- a/libs/bridgecross-request/tests/test_routing.py
+++ b/libs/bridgecross-request/tests/test_routing.py
@@ -28,8 +28,8 @@
 SHED = outcomes.NotRun(outcomes.NotRunProof.SHED_BY_SERVER, "shed")
 
 
-class _Script:
-    """Runs requests as a script says."""
+class _ScriptedRunner:
+    """A runner that returns given outcomes in order."""
 
     def __init__(self, script: list[outcomes.Outcome]) -> None:
         self._script = script
@@ -48,18 +48,18 @@
 def _make_cell(front: ids.InstanceId) -> cells.Cell:
     cell = cells.Cell(ids.ServiceName("rapor"))
     cell.slices = [cells.SliceState(SERVER, ids.Token(1), ())]
-    _seat(cell, front, 1)
+    _set_front(cell, front, 1)
     return cell
 
 
-def _seat(cell: cells.Cell, front: ids.InstanceId, token: int) -> None:
+def _set_front(cell: cells.Cell, front: ids.InstanceId, token: int) -> None:
     """Makes an instance the front of the server."""
     cell.fronts[SERVER] = cells.FrontState(
         front, ids.Token(token), (), ids.ServerId(""), ()
     )
 
 
-def _route(script: _Script, **settings: Any) -> routing.Router:
+def _route(script: _ScriptedRunner, **settings: Any) -> routing.Router:
     ports = _make_ports(_make_cell(ME), script)
     limits = {"budget_ratio": 0.1, "max_attempts": 3} | settings
     return routing.Router(retries.RetrySettings(**limits), ports)
@@ -99,7 +99,8 @@
     )
 
 
-# What the attempts give, the method, what the caller is told, and the runs.
+# The outcomes of the attempts, the method, the expected outcome of the request
+# and the number of attempts.
 CASES = {
     "answered": ([ANSWERED], "GET", ANSWERED, 1),
     "not run, then answered": ([FENCED, ANSWERED], "POST", ANSWERED, 2),
@@ -112,50 +113,50 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "method", "told", "runs"), CASES.values(), ids=CASES.keys()
+    ("script", "method", "expected", "runs"), CASES.values(), ids=CASES.keys()
 )
-async def test_what_the_caller_is_told(script, method, told, runs):
-    runner = _Script(script)
-    assert await _route(runner).handle(_request(method)) == told
+async def test_what_the_caller_is_told(script, method, expected, runs):
+    runner = _ScriptedRunner(script)
+    assert await _route(runner).handle(_request(method)) == expected
     assert runner.runs == runs
 
 
 async def test_a_request_that_may_not_run_twice_is_not_repeated():
-    runner = _Script([UNKNOWN, ANSWERED])
+    runner = _ScriptedRunner([UNKNOWN, ANSWERED])
     outcome = await _route(runner).handle(_request("PUT", key="order-1"))
     assert outcome == UNKNOWN
     assert runner.runs == 1
 
 
 async def test_retries_stay_within_the_budget():
-    runner = _Script([FENCED])
+    runner = _ScriptedRunner([FENCED])
     router = _route(runner, max_attempts=2)
     for _ in range(200):
         await router.handle(_request("GET"))
     assert runner.runs <= 200 * 1.1 + 11
 
 
-class _Answers(NamedTuple):
-    """What a front answers, and how long that takes."""
+class _TimedOutcome(NamedTuple):
+    """A front's outcome, and the time after which it arrives."""
 
     after_s: float
     outcome: outcomes.Outcome
 
 
-NEVER = _Answers(100.0, UNKNOWN)
+NEVER = _TimedOutcome(100.0, UNKNOWN)
 FIRST = ids.InstanceId("entry-2")
 SECOND = ids.InstanceId("entry-3")
 BY_FIRST = outcomes.Answered(200, (), b"by the first")
 BY_SECOND = outcomes.Answered(200, (), b"by the second")
 
 
-class _Fronts:
-    """Fronts on other instances, which answer after a time."""
+class _RemoteFronts:
+    """Fronts on other instances, which answer after a given time."""
 
-    def __init__(self, answers: dict[ids.InstanceId, _Answers]) -> None:
+    def __init__(self, answers: dict[ids.InstanceId, _TimedOutcome]) -> None:
         self._answers = answers
         self.sent: list[ids.InstanceId] = []
-        self.cut: list[ids.InstanceId] = []
+        self.cancelled: list[ids.InstanceId] = []
 
     async def run(self, request: requests.Request) -> outcomes.Outcome:
         raise AssertionError("the front is another instance")
@@ -167,41 +168,46 @@
         try:
             await anyio.sleep(self._answers[instance].after_s)
         except BaseException:
-            self.cut.append(instance)
+            self.cancelled.append(instance)
             raise
         return self._answers[instance].outcome
 
 
-# What the first and the second front answer, the retries that are left, and
-# what the caller is told.
+# The outcomes of the first and the second front, the retries that are left,
+# and the expected outcome of the request.
 REPLACED = {
     "the first is alive, and no retry is left": (
-        _Answers(0.2, BY_FIRST),
+        _TimedOutcome(0.2, BY_FIRST),
         NEVER,
         0,
         BY_FIRST,
     ),
     "the first answers before the second": (
-        _Answers(0.2, BY_FIRST),
+        _TimedOutcome(0.2, BY_FIRST),
         NEVER,
         9,
         BY_FIRST,
     ),
-    "the first is frozen": (NEVER, _Answers(0.05, BY_SECOND), 9, BY_SECOND),
+    "the first is frozen": (
+        NEVER,
+        _TimedOutcome(0.05, BY_SECOND),
+        9,
+        BY_SECOND,
+    ),
     "the first is frozen, the second answers late": (
         NEVER,
-        _Answers(0.3, BY_SECOND),
+        _TimedOutcome(0.3, BY_SECOND),
         9,
         BY_SECOND,
     ),
     "the second knows of nothing, the first answers": (
-        _Answers(0.3, BY_FIRST),
-        _Answers(0.05, SHED),
+        _TimedOutcome(0.3, BY_FIRST),
+        _TimedOutcome(0.05, SHED),
         9,
         BY_FIRST,
     ),
     "the first breaks off, and no retry is left": (
-        _Answers(0.2, UNKNOWN),
+        _TimedOutcome(0.2, UNKNOWN),
         NEVER,
         0,
         UNKNOWN,
@@ -210,57 +216,59 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "retries_count", "told"),
+    ("first", "second", "retries_count", "expected"),
     REPLACED.values(),
     ids=REPLACED.keys(),
 )
 async def test_an_answer_of_a_front_that_was_replaced_is_delivered(
-    first, second, retries_count, told
+    first, second, retries_count, expected
 ):
-    """The server has run the request, and its caller was told 504.
-
-    A house lost a server, and on a busy machine its instances took one another
-    for lost as well: the log named other fronts for servers, some of them
-    twice in a second. With each such record an instance broke off all requests
-    that it had forwarded to the earlier front, though that one lived and would
-    have answered. They count as retries, and ten are allowed at once: the rest,
-    70 requests in one run, were told "entry-2 did not answer before it was
-    replaced" with more than two seconds left, while the servers' journals show
-    that they ran.
+    """Callers got a 504 although the server had run their requests.
+
+    After a server was lost on a busy machine, the instances also took one
+    another for lost, and the log named new fronts for servers, some of them
+    twice in a second. At each such record an instance cancelled all requests
+    that it had forwarded to the replaced front, although that front was alive
+    and would have answered. Trying them again counts as retries, of which ten
+    are allowed at once. The other requests, 70 in one run, failed with
+    "entry-2 did not answer before it was replaced" and more than two seconds
+    left, while the servers' logs show that they ran.
     """
-    fronts = _Fronts({FIRST: first, SECOND: second})
+    fronts = _RemoteFronts({FIRST: first, SECOND: second})
     cell = _make_cell(FIRST)
     ports = _make_ports(cell, fronts)
     router = routing.Router(retries.RetrySettings(0.0, 3), ports)
     for _ in range(10 - retries_count):
         router._budget.spend()
-    told_outcomes = []
+    received = []
 
     async def ask() -> None:
-        told_outcomes.append(await router.handle(_request("PUT", limit_s=1.0)))
+        received.append(await router.handle(_request("PUT", limit_s=1.0)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
         await anyio.sleep(0.05)
-        _seat(cell, SECOND, 2)
+        _set_front(cell, SECOND, 2)
         ports.changed.notify()
-    assert told_outcomes == [told]
+    assert received == [expected]
     assert fronts.sent[0] == FIRST
     assert fronts.sent[1:] == [SECOND] * bool(retries_count)
 
 
 async def test_no_attempt_outlives_its_request():
-    fronts = _Fronts({FIRST: NEVER, SECOND: _Answers(0.05, BY_SECOND)})
+    fronts = _RemoteFronts(
+        {FIRST: NEVER, SECOND: _TimedOutcome(0.05, BY_SECOND)}
+    )
     cell = _make_cell(FIRST)
     ports = _make_ports(cell, fronts)
     router = routing.Router(retries.RetrySettings(0.1, 3), ports)
     with anyio.move_on_after(0.1):
         await router.handle(_request("PUT"))
-    assert fronts.cut == [FIRST]
+    assert fronts.cancelled == [FIRST]
 
 
 async def test_a_frozen_front_costs_no_more_than_the_deadline():
-    fronts = _Fronts({FIRST: NEVER, SECOND: NEVER})
+    fronts = _RemoteFronts({FIRST: NEVER, SECOND: NEVER})
     cell = _make_cell(FIRST)
     router = routing.Router(
         retries.RetrySettings(0.1, 3), _make_ports(cell, fronts)
@@ -269,4 +277,4 @@
     outcome = await router.handle(_request("PUT", limit_s=0.3))
     assert isinstance(outcome, outcomes.Unknown)
     assert 0.3 <= anyio.current_time() - begun_s < 0.6
-    assert fronts.cut == [FIRST]
+    assert fronts.cancelled == [FIRST]
