--- a/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
@@ -1,32 +1,32 @@
-"""An entry instance: between callers and backend servers of a platform.
+"""An entry instance, which passes requests of callers to backend servers.
 
-* ``model``: what an instance believes, decoded by an adapter.
-* ``attempts``: requests, and how one attempt at a backend server ends.
-* ``exchange``: HTTP/1.1 exchanges over kept connections.
-* ``routes``: host and path to route, route to service.
-* ``servers``: backend servers with what this instance saw of them.
-* ``notices``: what servers say of themselves in their answers.
-* ``retry_budget``: retries over a sliding window, shared by all instances.
-* ``dispatch``: the life of a request.
+* ``model``: an instance's view of the platform, decoded by an adapter.
+* ``attempts``: requests, and the outcome of one attempt at a backend server.
+* ``exchange``: HTTP/1.1 exchanges over persistent connections.
+* ``routes``: maps host and path to a route, and a route to a service.
+* ``servers``: backend servers and what this instance measured of them.
+* ``notices``: what servers report about themselves in their answers.
+* ``retry_budget``: limits retries over a sliding window, for all instances.
+* ``dispatch``: handles a request from its arrival to its outcome.
 * ``edge``: the listener towards callers.
-* ``log``: the platform's log, and how its topics are followed.
-* ``cluster_state``: servers, configuration and key maps, read or told.
-* ``leadership``: which instance reads and coordinates for all.
+* ``log``: the interface to the platform's log.
+* ``cluster_state``: servers, configuration and key maps, read or relayed.
+* ``leadership``: elects the instance that reads and coordinates for all.
 * ``keymap``: which server owns which range of keys.
-* ``load``, ``load_view``: the load of keys and servers, told and summed up.
-* ``planner``: chooses which ranges move.
-* ``leases``: orders about ranges to servers, and how long they last.
-* ``coordinator``: who owns which keys of a service, decided by one instance.
-* ``peers``: what instances tell one another.
-* ``journal``, ``metrics``: bounded structured logs, and figures.
-* ``listener``: HTTP towards callers and peers.
-* ``crash_watch``: finds out which requests servers ended under.
-* ``poison_news``: tells all instances of that.
-* ``cluster_tasks``: what instances do for one another.
-* ``tasks``: tasks of the background that outlive their faults.
-* ``follower``, ``feeds``, ``relaying``: topics read, and told to others.
+* ``load``, ``load_view``: the load of keys and servers, reported and summed.
+* ``planner``: chooses which key ranges move.
+* ``leases``: orders to servers about key ranges, and the leases on them.
+* ``coordinator``: assigns the keys of a service to servers, on the leader.
+* ``peers``: the messages between instances.
+* ``journal``, ``metrics``: bounded structured logs, and metrics.
+* ``listener``: HTTP listeners for callers and peers.
+* ``crash_watch``: finds requests during which servers crashed.
+* ``poison_news``: shares those findings among the instances.
+* ``cluster_tasks``: the background tasks of an instance for the cluster.
+* ``tasks``: background tasks that are restarted after errors.
+* ``follower``, ``feeds``, ``relaying``: reads topics, and relays them.
 * ``server_list``: the platform's list of servers, and their runs.
-* ``invalid_records``: records that make no sense.
-* ``assembly``: puts the parts of an instance together.
-* ``runtime``: runs them with listeners and signals.
+* ``invalid_records``: counts and logs records that cannot be decoded.
+* ``assembly``: builds an instance from its parts.
+* ``runtime``: runs an instance with its listeners and signal handlers.
 """
--- a/libs/bridgecross-entry/src/bridgecross_entry/draining.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/draining.py
@@ -1,4 +1,4 @@
-"""What an instance that was told to stop still waits for."""
+"""Draining of an instance that has been told to stop."""
 
 from collections.abc import Callable
 
@@ -6,8 +6,8 @@
 
 from bridgecross_core import clock as clocks
 
-_LOOK_INTERVAL_S = 0.02
-"""How often it is looked whether all is done: little beside 3 s of draining."""
+_CHECK_INTERVAL_S = 0.02
+"""The interval between checks; short compared to 3 s of draining."""
 
 
 async def wait_until_idle(
@@ -17,22 +17,25 @@
     end_s: float,
     clock: clocks.Clock,
 ) -> None:
-    """Waits until nothing depends on this instance, or its time is over.
+    """Waits until nothing depends on this instance, or until a deadline.
 
-    Another claims the lead at once, but nobody can while the log is away: then
-    no lease would be renewed, and all keys would be unserved one lease after
-    this instance has ended. Its requests are done after 3 s; of 6 s to stop it
-    so bridges 2.4 s more of an outage of the log (seen on a played day).
+    Usually another instance claims the lead at once, but none can while the log
+    is unavailable. In that case no lease would be renewed, and all keys would
+    be unserved one lease after this instance has ended. The requests of this
+    instance are done after 3 s. As it has 6 s to stop, it bridges 2.4 s more of
+    an outage of the log (seen in a simulated day).
 
     Args:
-        count_requests: Counts requests that have no answer yet.
-        count_coordinated: Counts services whose leases nobody else renews.
+        count_requests: Returns the number of requests without an answer.
+        count_coordinated: Returns the number of services whose leases no other
+            instance renews.
         close_idle: Closes connections that carry no request.
-        end_s: When the instance ends whatever is left, on the monotonic clock.
-        clock: For the time.
+        end_s: The deadline, on the monotonic clock, after which the instance
+            ends in any case.
+        clock: Tells the time.
     """
     while count_requests() or count_coordinated():
         if clock.monotonic_s() >= end_s:
             return
-        await anyio.sleep(_LOOK_INTERVAL_S)
+        await anyio.sleep(_CHECK_INTERVAL_S)
         close_idle()
--- a/libs/bridgecross-entry/src/bridgecross_entry/follower.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/follower.py
@@ -110,7 +110,6 @@
     """Follows one topic and passes its records on.
 
     ``run`` is one task, which goes on until it is cancelled.
-
     """
 
     def __init__(
@@ -227,7 +226,6 @@
         A batch is applied even if its sender cannot read the log itself; but
         then this instance no longer leaves reading to the sender.
 
-
         Args:
             batch: The relayed changes.
             delay_s: An upper bound of the time that the message was in transit;
@@ -253,7 +251,6 @@
 
         This does not make this instance rely on the sender: it goes on reading,
         or trying to read, the log itself.
-
         """
         if self._is_contiguous(batch):
             self._apply_newer(batch)
@@ -301,7 +298,6 @@
         once. If that fails too, the log is most likely unavailable to all, and
         retrying is left to the leader; but from time to time this instance
         tries as well, since the log may be available again to this one alone.
-
         """
         if self._settings.is_urgent and self.lost_since_s is None:
             self.stop_awaiting_relay()
@@ -334,7 +330,6 @@
         While no instance can read the topic, retrying is left to the sender,
         since each call costs money. Otherwise what is known must not grow too
         old meanwhile.
-
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._first_read_s:
@@ -356,7 +351,6 @@
 
         Before a record is written on top of the newest one, that one is looked
         up in the log itself, since relayed batches may have left it out.
-
         """
         return await self._start()
 
@@ -417,7 +411,6 @@
 
         It is applied like a record that was read, so that it is also relayed to
         instances that are told to read on after it.
-
         """
         if self.next_offset == offset:
             self._advance(
--- a/libs/bridgecross-entry/src/bridgecross_entry/invalid_records.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/invalid_records.py
@@ -1,42 +1,44 @@
-"""Records of a topic that say nothing an instance can use.
+"""Counts and logs records that cannot be decoded.
 
-Others may write to topics as well. A record that makes no sense is left aside:
-it never stops the topic, and what was known before stands. Each is told once
-for its key and reason, not each time it is read.
+Other programs may write to the topics as well. An invalid record is skipped: it
+never stops the reading of the topic, and what was known before remains valid.
+It is logged once per key and reason, not each time it is read.
 """
 
 from bridgecross_entry import journal as journals
 
 _REMEMBERED_MAX_COUNT = 1_000
-"""Keys whose reason is remembered; about 200 bytes each."""
+"""The maximum number of keys whose last reason is kept; each takes about 200
+bytes."""
 
 _REASON_MAX_COUNT = 300
-"""Characters of a reason in a line: a finding's place and the first of them."""
+"""The maximum length of a reason in a log line: room for the location and the
+beginning of a finding."""
 
 
 class InvalidRecords:
-    """What was left aside of one topic."""
+    """The invalid records of one topic."""
 
     def __init__(self, topic: str, journal: journals.Journal) -> None:
-        """Has left nothing aside.
+        """Initializes the count with zero.
 
         Args:
-            topic: For the lines.
-            journal: Told of each key and reason.
+            topic: The topic, for the log lines.
+            journal: Receives a line for each new key and reason.
         """
-        # All records that were left aside, also those told before.
+        # The number of invalid records, including those logged before.
         self.count = 0
         self._topic = topic
         self._journal = journal
         self._reasons: dict[str, str] = {}
 
     def note(self, event: str, key: str, error: Exception) -> None:
-        """Leaves a record aside.
+        """Counts an invalid record, and logs it if its reason is new.
 
         Args:
-            event: What the line says of it.
+            event: The event name in the log line.
             key: The record's key.
-            error: Why it makes no sense.
+            error: Why it could not be decoded.
         """
         self.count += 1
         reason = (str(error) or repr(error))[:_REASON_MAX_COUNT]
--- a/libs/bridgecross-entry/src/bridgecross_entry/log.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/log.py
@@ -1,8 +1,8 @@
-"""The platform's log as the product sees it.
+"""The interface to the platform's log.
 
-Topics that are compacted by key keep the newest record of each key for good,
-so they replace snapshots and retention work: a follower starts from the
-newest records and reads on from there.
+In a topic that is compacted by key, the newest record of each key is kept
+forever, so no snapshots and no retention handling are needed: a follower starts
+from the newest records and reads on from there.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
     """The newest value of a key."""
 
     key: str
-    # Empty if the key was removed.
+    # Empty if the key has been removed.
     value: bytes
 
 
@@ -23,7 +23,7 @@
     """The newest record of each key of a topic."""
 
     records: tuple[KeyedRecord, ...]
-    # The offset to read on from; later changes may already be in.
+    # The offset to read on from. Changes after it may already be included.
     end: int
 
 
@@ -34,45 +34,46 @@
     records: tuple[KeyedRecord, ...]
     # The offset after the last of the records.
     next_offset: int
-    # Where the topic ended; there are more records if that is further on.
+    # The end of the topic; if it is beyond ``next_offset`` there are more
+    # records.
     end: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forgotten:
-    """The log no longer keeps records from that offset on."""
+    """The log no longer stores records from that offset on."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The log did not answer, or turned the call away."""
+    """The log did not answer, or rejected the call."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """The record is in the log."""
+    """The record was appended."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was appended: the topic does not end where it was expected."""
+    """Nothing was appended: the topic does not end at the expected offset."""
 
     end: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Uncertain:
-    """The record may be in the log, or come to be in it later."""
+    """The record may have been appended, or may still be appended later."""
 
     reason: str
 
 
 class PlatformLog(Protocol):
-    """The calls of the platform's log that the product uses."""
+    """The calls of the platform's log that an instance uses."""
 
     async def read_newest(self, topic: str) -> Newest | Unreachable:
         """Returns the newest record of each key."""
@@ -80,12 +81,12 @@
     async def read(
         self, topic: str, offset: int, wait_ms: float
     ) -> Batch | Forgotten | Unreachable:
-        """Returns records from an offset on, waiting for one if need be."""
+        """Returns records from an offset on, and waits if there are none."""
 
     async def append(
         self, topic: str, record: KeyedRecord, expected_end: int
     ) -> Appended | Conflict | Uncertain | Unreachable:
-        """Appends a record if the topic still ends at an offset."""
+        """Appends a record if the topic still ends at the expected offset."""
 
     async def put(self, topic: str, record: KeyedRecord) -> bool:
-        """Appends a record whatever came before; returns whether it is in."""
+        """Appends a record unconditionally; returns whether it was appended."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/model.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/model.py
@@ -1,7 +1,7 @@
-"""What an entry instance believes about the world around it.
+"""An entry instance's view of the platform.
+
+Adapters decode into these types, which do not depend on any wire format.
 
-These types are what adapters decode into; nothing in here knows how they are
-spelled on any wire.
 """
 
 from collections.abc import Mapping
@@ -11,13 +11,13 @@
 from bridgecross_core import ids
 
 _RUN_MARK = "@"
-"""Stands between a server's name and the start of a run."""
+"""Separates a server's name from the start time of a run."""
 
 
 class Address(NamedTuple):
-    """Where a process listens."""
+    """The address at which a process listens."""
 
-    # An IP number.
+    # An IP address.
     host: str
     port: int
 
@@ -30,25 +30,27 @@
 class BackendServer:
     """One run of a backend server, as the platform lists it."""
 
-    # Names this run; see ``name_run``.
+    # Identifies this run; see ``name_run``.
     server_id: ids.ServerId
     # The service that it belongs to.
     service: ids.ServiceName
-    # Where it takes requests; may belong to another server later.
+    # Where it accepts requests; another server may have the address later.
     address: Address
     # The failure domain that it runs in.
     failure_domain: str
-    # Requests that it works on at the same time.
+    # The number of requests that it processes concurrently.
     slots: int
-    # Whether it has said that it will end soon.
+    # Whether it has announced that it will stop soon.
     leaving: bool
-    # How much longer it is slow, counted from its start.
+    # How much of its warm-up time, counted from its start, is left; it is slow
+    # during that time.
     warmup_left_ms: float
-    # The platform's name of the server, the same in all its runs. A server
-    # that starts again under its name holds and knows nothing of before.
+    # The platform's name of the server, the same in all its runs. A run holds
+    # nothing and knows nothing of the runs before it.
     name: str
-    # When the run started, as the server tells, in milliseconds since 1970;
-    # None if it does not tell, and then its name names one run only.
+    # When the run started, as reported by the server, in milliseconds since
+    # 1970. None if it does not report this; its name then stands for a single
+    # run.
     started_ms: int | None
 
 
@@ -69,17 +71,17 @@
     host: str
     # Starts and ends with a slash.
     path_prefix: str
-    # Whether running a request twice does no harm.
+    # Whether a request may safely be executed twice.
     idempotent: bool
-    # The longest time for which a request may be held.
+    # The maximum time for which a request may be held.
     timeout_ms: float
-    # Answers later than this are worth less to the caller.
+    # The latency above which an answer is worth less to the caller.
     target_latency_ms: float
-    # 0 goes first.
+    # 0 is the highest priority.
     priority: int
     # The services among which requests are divided.
     shares: tuple[WeightedService, ...]
-    # Backend servers that one request may be sent to.
+    # The maximum number of backend servers that one request may be sent to.
     max_attempts: int
     # The areas in which its requests may be served; any, if empty.
     allowed_areas: frozenset[str] = frozenset()
@@ -87,26 +89,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """What holds for all backend servers of a service."""
+    """Settings of a service, which apply to all its backend servers."""
 
     name: ids.ServiceName
-    # Connections that a backend server takes from all instances together.
+    # The number of connections that a backend server accepts from all instances
+    # together.
     max_connections: int
     # Whether its backend servers own ranges of keys exclusively.
     keyed: bool
-    # How long keys are slow if they come without state of the old owner.
+    # How long requests for a key are slow after a move without the previous
+    # owner's state.
     warm_ms: float
-    # For how long a server is cold that has just started.
+    # The length of the warm-up after a server has started.
     warmup_ms: float = 0.0
-    # Requests a second that a cold server bears; None if it bears all.
+    # The requests per second that a server handles during its warm-up; None if
+    # there is no limit.
     warmup_rate_per_s: float | None = None
-    # Where a server tells how it is; empty if it does not.
+    # The path of the health check; empty if there is none.
     health_path: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may rest."""
+    """Limits on what a caller may send and how long it may be idle."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -116,9 +121,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """What the operator wants; replaced as a whole."""
+    """The operator's configuration; always replaced as a whole."""
 
-    # Rises with each change, in uneven steps.
+    # Increases with each change, in uneven steps.
     version: int
     routes: tuple[Route, ...]
     services: Mapping[ids.ServiceName, Service]
@@ -127,68 +132,71 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the platform promises and asks for, in time and counts."""
+    """Bounds that the platform guarantees or requires."""
 
-    # After this a leaving backend server must get no new requests.
+    # After this time a leaving backend server must get no new requests.
     drain_ms: float
-    # Between the signal to stop and the kill.
+    # The time between the stop signal and the kill.
     grace_ms: float
-    # Retries allowed to a service, as a share of its requests.
+    # The allowed retries of a service, as a share of its requests.
     retry_ratio: float
     # The sliding window in which retries are counted.
     retry_window_ms: float
-    # Retries allowed in each window beyond the share.
+    # Additional retries allowed in each window.
     retry_slack: float
     # The longest lease that a backend server accepts.
     lease_max_ms: float
-    # A configuration is in force everywhere this long after it was taken.
+    # The time after which an accepted configuration is in force on all
+    # instances.
     configuration_ms: float
-    # After this the servers of an evacuated failure domain get no requests.
+    # After this time the servers of an evacuated failure domain get no
+    # requests.
     evacuation_ms: float = 5_000.0
-    # A cold server may get so many times its rate in any second, from all
-    # instances together, and this many requests more.
+    # In any second, all instances together may send a server in warm-up its
+    # rate times this ratio, plus the slack.
     warmup_overage_ratio: float = 1.0
     warmup_slack: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What an instance learns from the platform when it starts."""
+    """The settings that the platform gives an instance at its start."""
 
     # The name of the instance.
     name: str
     # The failure domain that it runs in.
     failure_domain: str
-    # Where callers connect.
+    # The address for callers.
     caller_address: Address
-    # Where the platform asks for readiness.
+    # The address for the platform's readiness checks.
     ready_address: Address
-    # Where the other instances reach this one.
+    # The address for other instances.
     peer_address: Address
-    # Where metrics are served.
+    # The address at which metrics are served.
     metrics_address: Address
-    # Where the platform's log answers.
+    # The address of the platform's log.
     log_address: Address
-    # What the machine has of a processor core, and its link.
+    # The processor cores of the machine, possibly less than one, and the
+    # bandwidth of its link.
     cores: float
     link_mbps: float
     bounds: Bounds
-    # Whether the whole system starts for the first time: nobody leads yet, and
-    # nobody is served before all have started.
+    # Whether the whole system starts for the first time: there is no leader
+    # yet, and no request is served before all have started.
     is_first_start: bool = False
-    # The area that each failure domain lies in.
+    # The area of each failure domain.
     area_of_domain: Mapping[str, str] = dataclasses.field(default_factory=dict)
 
 
 def name_run(name: str, started_ms: int | None) -> ids.ServerId:
-    """Returns what names one run of a server, and no other run of any."""
+    """Returns an id that identifies exactly one run of a server."""
     if started_ms is not None:
         return ids.ServerId(f"{name}{_RUN_MARK}{started_ms:x}")
     return ids.ServerId(name + _RUN_MARK if _RUN_MARK in name else name)
 
 
 def split_run(server_id: ids.ServerId) -> tuple[str, int | None]:
-    """Returns the name and the start that ``name_run`` was given."""
+    """Returns the name and the start time that ``name_run`` was given."""
     name, mark, start = server_id.rpartition(_RUN_MARK)
     if not mark:
         return server_id, None
@@ -196,7 +204,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Returns the address that ``host:port`` names.
+    """Returns the address that a ``host:port`` text denotes.
 
     Raises:
         ValueError: There is no port, or it is not a number from 1 to 65535.
--- a/libs/bridgecross-entry/tests/test_draining.py
+++ b/libs/bridgecross-entry/tests/test_draining.py
@@ -13,7 +13,7 @@
         pytest.param((0,), (0,), 0.0, id="nothing is left"),
         pytest.param((2, 1, 0), (0,), 0.03, id="requests end"),
         pytest.param((0,), (1, 1, 0), 0.03, id="another takes the lead"),
-        pytest.param((0,), (1,), 0.2, id="nobody does: the log is away"),
+        pytest.param((0,), (1,), 0.2, id="nobody does: the log is unavailable"),
         pytest.param((1,), (0,), 0.2, id="a request does not end"),
     ],
 )
@@ -21,14 +21,14 @@
     requests, coordinated, least_s
 ):
     clock = clocks.SystemClock()
-    looks = 0
+    checks = 0
 
     def count(values):
-        return values[min(looks, len(values) - 1)]
+        return values[min(checks, len(values) - 1)]
 
     def close_idle():
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
 
     begun_s = clock.monotonic_s()
     with anyio.fail_after(1.0):
