--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -14,7 +14,7 @@
 from bridgecross_emulator import house as houses
 from bridgecross_emulator import network as networks
 from bridgecross_emulator import virtual
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_request import poison_requests
 
 _SIZES_COUNT = (11, 74, 195, 780)
@@ -113,7 +113,7 @@
     size: str, network: networks.Network, took_s: float
 ) -> list[rows.Row]:
     """Returns what an end cost."""
-    path = poison_news.PATH.decode()
+    path = poison_broadcast.PATH.decode()
     count = network.carried_count[path]
     size_kb = network.carried_bytes[path] / 1e3
     return [
--- a/benchmarks/poison_ways.py
+++ b/benchmarks/poison_ways.py
@@ -14,7 +14,7 @@
 from bridgecross_emulator import instances
 from bridgecross_entry import attempts
 from bridgecross_entry import dispatch
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_request import poison_requests
 from tests.emulated import crash_scene
 
@@ -124,7 +124,7 @@
         if (told.target != _TARGET or told.body)
         and getattr(told.outcome, "reason", "") == _REFUSED
     ]
-    path = poison_news.PATH.decode()
+    path = poison_broadcast.PATH.decode()
     told_kb = scene.house.network.carried_bytes[path] / 1e3
     ledgers = [each.parts.watch.ledger for each in scene.house.instances]
     suspects = max(len(each.known_subjects()) for each in ledgers)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
@@ -23,7 +23,7 @@
 from bridgecross_entry import model
 from bridgecross_entry import peers
 from bridgecross_entry import permits
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 
 SERVICE = ids.ServiceName("rapor")
 """The service whose servers own keys."""
@@ -251,8 +251,8 @@
         if path == permits.PATH:
             issuer = self.parts.issuer
             return await edge.answer_permit(issuer, self._server, body)
-        if path == poison_news.PATH:
-            news = self.parts.duties.poison_news
+        if path == poison_broadcast.PATH:
+            news = self.parts.duties.poison_broadcast
             return await edge.answer_poison_news(news, self._server, body)
         return self._server.answer(path, body)
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
@@ -21,7 +21,7 @@
 * ``journal``, ``metrics``: bounded structured logs, and figures.
 * ``listener``: HTTP towards callers and peers.
 * ``crash_watch``: finds out which requests servers ended under.
-* ``poison_news``: tells all instances of that.
+* ``poison_broadcast``: tells all instances of that.
 * ``cluster_tasks``: what instances do for one another.
 * ``tasks``: tasks of the background that outlive their faults.
 * ``follower``, ``feeds``, ``relaying``: topics read, and told to others.
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -92,13 +92,13 @@
         self.table = keymap.KeyTable(journal)
         self.issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(),
-            permit_issuer.SERVERS,
+            permit_issuer.SERVER_SETTINGS,
             self.settings.failure_domain,
             self.book,
             journal,
             self.metrics,
             clock,
-            lambda service: self._certainty.is_certain(
+            lambda service: self._certainty.is_sole_issuer(
                 service, self.settings.failure_domain
             ),
         )
@@ -152,7 +152,7 @@
         self.dispatcher.server_list_as_of_s = lambda: (
             self.beliefs.server_list_as_of_s
         )
-        self._certainty = warmups.IssuerCertainty(
+        self._certainty = warmups.SoleIssuerCheck(
             warmups.WarmupSettings(),
             self.settings.peer_address,
             self._strong_instances,
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -30,7 +30,7 @@
 from bridgecross_entry import model
 from bridgecross_entry import peers
 from bridgecross_entry import planner
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_entry import relaying
 from bridgecross_entry import servers as servers_lib
 from bridgecross_entry import tasks as tasks_lib
@@ -113,8 +113,8 @@
             journal,
             clock,
         )
-        self.poison_news = poison_news.PoisonNews(
-            poison_news.PoisonNewsSettings(),
+        self.poison_broadcast = poison_broadcast.PoisonBroadcaster(
+            poison_broadcast.PoisonBroadcastSettings(),
             dispatcher.watch.ledger,
             self._peer_client,
             self._peers,
@@ -123,16 +123,18 @@
             clock,
         )
         dispatcher.watch.rank = self._rank
-        dispatcher.watch.on_ends = self.poison_news.tell_ends
-        dispatcher.watch.on_cleared = self.poison_news.tell_answer
-        self.poison_news.on_seen_ended = dispatcher.watch.note_seen_elsewhere
-        held.on_refused = self.poison_news.take_record
+        dispatcher.watch.on_ends = self.poison_broadcast.report_ends
+        dispatcher.watch.on_cleared = self.poison_broadcast.report_answer
+        self.poison_broadcast.on_ended_elsewhere = (
+            dispatcher.watch.note_seen_elsewhere
+        )
+        held.on_refused = self.poison_broadcast.load_record
         self._relayer = relaying.Relayer(
             relaying.RelaySettings(),
             held,
             self._leadership,
             self._peer_client,
-            self.poison_news,
+            self.poison_broadcast,
             self._peers,
             journal,
             clock,
@@ -165,7 +167,7 @@
             self._report_load,
         ):
             tasks.start_soon(tasks_lib.keep_running, work, self._journal)
-        self.poison_news.start(tasks)
+        self.poison_broadcast.start(tasks)
 
     def make_peer_server(self) -> peers.PeerServer:
         """Returns what answers other instances."""
@@ -241,7 +243,7 @@
                 self._beliefs.instances.add(own)
             if self._leadership.is_leader:
                 await self._drop_lost_peers()
-                await self.poison_news.drop_old_records()
+                await self.poison_broadcast.remove_old_records()
             # The first look comes at once: the log may turn this instance away
             # a moment later, and nobody would know of it.
             await self._beliefs.updated.wait(self._settings.register_interval_s)
@@ -249,7 +251,7 @@
     async def _drop_lost_peers(self) -> None:
         """Takes instances off the list that have been gone for long."""
         for peer in self._peers():
-            lost_s = self._peer_client.lost_for_s(peer)
+            lost_s = self._peer_client.unresponsive_for_s(peer)
             if lost_s < self._settings.peer_lost_s:
                 continue
             self._journal.decision(
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -386,7 +386,7 @@
             named = self._book.get(permit.server_id)
             if named and self._choice.list_with_room([named], life.shed_by):
                 return await self._attempt(life, named, permit, keyed=False)
-            self._give_back(permit, 0.0, permits_lib.Ending.UNUSED)
+            self._give_back(permit, 0.0, permits_lib.Outcome.UNUSED)
         queue = self._queues.get(life.service)
         refusal = await self._wait_for_room(life, queue, life.service)
         if refusal is not None:
@@ -423,7 +423,7 @@
         if permits is None or not is_used:
             return self._refuse_cold(life, cold) if cold else None
         begun_s = self._clock.monotonic_s()
-        wanted = permit_client.Wanted(
+        wanted = permit_client.Applicant(
             life.service,
             life.route.priority,
             queueing.Deadlines(
@@ -442,7 +442,7 @@
             if not cold or self._covers(result):
                 return result
             if result is not None:
-                self._give_back(result, 0.0, permits_lib.Ending.UNUSED)
+                self._give_back(result, 0.0, permits_lib.Outcome.UNUSED)
             return self._refuse_cold(life, cold)
         life.trail.append(f"no permit: {result.reason}")
         return self._refuse(result.reason, result.retry_after_ms)
@@ -497,12 +497,12 @@
         self,
         permit: permit_client.Permit,
         held_s: float,
-        ending: permits_lib.Ending,
+        ending: permits_lib.Outcome,
         pace_ratio: float = 0.0,
     ) -> None:
         """Gives a permit back."""
         assert self._permits is not None  # by whoever gave it
-        self._permits.give_back(permit, held_s, ending, pace_ratio)
+        self._permits.return_permit(permit, held_s, ending, pace_ratio)
 
     def _note_pace(
         self, server: servers_lib.Server, result: attempts.Attempt
@@ -620,7 +620,7 @@
         """
         held_s = 0.0
         pace_ratio = 0.0
-        ending = permits_lib.Ending.UNUSED
+        ending = permits_lib.Outcome.UNUSED
         try:
             refusal = await self._enter(life, server, permit, keyed=keyed)
             if refusal is not None:
@@ -633,7 +633,7 @@
                 if permit is None:
                     server.queue.release(held_s, _place(life))
             if result is not None:
-                ending = permits_lib.name_ending(result)
+                ending = permits_lib.classify_attempt(result)
                 pace_ratio = self._note_pace(server, result)
         finally:
             if permit is not None:
--- a/libs/bridgecross-entry/src/bridgecross_entry/edge.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/edge.py
@@ -17,7 +17,7 @@
 from bridgecross_entry import peers
 from bridgecross_entry import permit_issuer
 from bridgecross_entry import permits
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_request import poison_requests
 
 _BODY_MAX_BYTES = 64 * 1024 * 1024
@@ -173,7 +173,7 @@
 def make_peer_app(
     server: peers.PeerServer,
     issuer: permit_issuer.PermitIssuer,
-    news: poison_news.PoisonNews,
+    news: poison_broadcast.PoisonBroadcaster,
 ) -> listener.App:
     """Returns an application that answers other instances."""
 
@@ -191,7 +191,7 @@
             return
         if scope["raw_path"] == permits.PATH:
             reply = await answer_permit(issuer, server, body)
-        elif scope["raw_path"] == poison_news.PATH:
+        elif scope["raw_path"] == poison_broadcast.PATH:
             reply = await answer_poison_news(news, server, body)
         else:
             reply = server.answer(scope["raw_path"], body)
@@ -201,13 +201,15 @@
 
 
 async def answer_poison_news(
-    news: poison_news.PoisonNews, server: peers.PeerServer, body: bytes
+    news: poison_broadcast.PoisonBroadcaster,
+    server: peers.PeerServer,
+    body: bytes,
 ) -> peers.PeerReply:
     """Answers one who tells of servers that ended under requests."""
     try:
         return peers.PeerReply(200, await news.answer(body))
     except (codec.CodecError, poison_requests.InvalidReportError) as error:
-        return server.leave_aside(poison_news.PATH, error)
+        return server.reject_unreadable(poison_broadcast.PATH, error)
 
 
 async def answer_permit(
@@ -217,10 +219,10 @@
     try:
         message = permits.MESSAGES.decode(body)
     except codec.CodecError as error:
-        return server.leave_aside(permits.PATH, error)
-    if message.back is not None:
-        issuer.take_back(message.back)
-    if message.ask is None:
+        return server.reject_unreadable(permits.PATH, error)
+    if message.returned is not None:
+        issuer.handle_return(message.returned)
+    if message.request is None:
         return peers.PeerReply(200)
-    reply = await issuer.ask(message.ask)
+    reply = await issuer.handle_request(message.request)
     return peers.PeerReply(200, permits.REPLIES.encode(reply))
--- a/libs/bridgecross-entry/src/bridgecross_entry/peers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/peers.py
@@ -114,7 +114,7 @@
     timeout_s: float = 0.4
     # What a message's length adds to that: half of the weakest link seen, of
     # 5 Mbit/s.
-    least_bytes_per_s: float = 300_000.0
+    min_bytes_per_s: float = 300_000.0
     # A peer is not called for this long after it did not answer.
     pause_s: float = 1.0
     # That a peer did not answer says nothing once it has not been called for
@@ -242,7 +242,7 @@
         body = _deflate(_SETTLED.encode(settled))
         await self._call(address, _SETTLED_PATH, body)
 
-    async def ask(
+    async def post_urgent(
         self, address: model.Address, path: bytes, body: bytes, timeout_s: float
     ) -> bytes | None:
         """Posts a message that cannot wait; None if no usable answer comes.
@@ -257,7 +257,7 @@
             return result.body
         return None
 
-    def lost_for_s(self, address: model.Address) -> float:
+    def unresponsive_for_s(self, address: model.Address) -> float:
         """Returns for how long a peer has not answered.
 
         0 if it does, and if it has not been called for long.
@@ -289,7 +289,7 @@
             return _Answer(Reception.UNKNOWN)
         result: exchange.Result = exchange.Broken("no answer in time")
         timeout_s = self._settings.timeout_s
-        timeout_s += len(body) / self._settings.least_bytes_per_s
+        timeout_s += len(body) / self._settings.min_bytes_per_s
         with timeouts.move_on_after(timeout_s, self._clock):
             result = await self._post(address, path, body)
         if isinstance(result, exchange.Reply):
@@ -401,10 +401,10 @@
                 return PeerReply(404)
             take(_inflate(body))
         except codec.CodecError as error:
-            return self.leave_aside(path, error)
+            return self.reject_unreadable(path, error)
         return PeerReply(_HTTP_OK)
 
-    def leave_aside(self, path: bytes, error: ValueError) -> PeerReply:
+    def reject_unreadable(self, path: bytes, error: ValueError) -> PeerReply:
         """Tells of a message that cannot be read, and answers it."""
         self._journal.decision(
             "peer_message_unreadable",
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -1,8 +1,9 @@
-"""Gives out permits for the servers of one failure domain.
+"""Issues permits for the servers of one failure domain.
 
-Any instance may be asked: who counts for a service is decided by those who ask
-(``permit_client``). Where they differ for a moment, two count the same servers
-and each may fill them; the servers' own queues take that up.
+Any instance may be asked: which one issues permits for a service is decided by
+the requesting instances (``permit_client``). If they briefly disagree, two
+issuers count the same servers and each may fill them; the servers' own queues
+absorb the excess.
 """
 
 from collections.abc import Callable
@@ -25,53 +26,54 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IssuerSettings:
-    """How permits are given out."""
+    """Timing and limits of issuing permits."""
 
-    # How often the servers are looked up anew. They come and go once in
-    # seconds; a leaving one is avoided by whoever holds the permit as well.
+    # How often the list of servers is refreshed. Servers come and go every few
+    # seconds; the holder of a permit avoids a leaving server as well.
     recount_interval_s: float = 0.25
-    # How long an ask that waits is held before it is answered, the first time
-    # and when it is asked again. The answer shows that the issuer lives; a slot
-    # that falls free meanwhile is given at once. Who asks again is held for
-    # longer: where callers come faster than servers work, most messages are
-    # such asks.
-    hold_s: float = 0.1
-    hold_again_s: float = 0.5
-    # A request that has not asked again for this long has no place any more:
-    # its instance is lost, or its caller has left.
-    forget_s: float = 1.0
-    # Requests of one priority that may wait. Most are turned away long before
-    # because they would wait for too long; this bounds memory, at 1 KB each.
+    # How long a waiting request is held before it gets an answer, the first
+    # time and when it is repeated. The answer shows that the issuer is alive; a
+    # slot that becomes free meanwhile is granted at once. Repeated requests are
+    # held for longer: where callers arrive faster than servers work, most
+    # messages are such requests.
+    long_poll_s: float = 0.1
+    repeat_long_poll_s: float = 0.5
+    # A waiting request that has not been repeated for this long loses its
+    # place: its instance is lost, or its caller has disconnected.
+    waiter_timeout_s: float = 1.0
+    # The number of waiting requests of one priority. Most are refused long
+    # before because they would wait for too long; this bounds memory, at 1 KB
+    # each.
     waiting_max_count: int = 2_000
     # A permit that is not returned counts until the request's deadline and for
-    # this much longer, while its return may be under way.
+    # this much longer, while its return may be in flight.
     expiry_margin_s: float = 0.5
 
 
-SERVERS = servers_lib.ServerSettings(smoothing_ratio=0.15)
-"""How servers are judged by what came of all permits. An issuer sees every
-answer of a server, so the last dozen of them are two to ten seconds."""
+SERVER_SETTINGS = servers_lib.ServerSettings(smoothing_ratio=0.15)
+"""How servers are rated by the outcomes of all permits. An issuer sees every
+answer of a server, so the last dozen of them span two to ten seconds."""
 
 
-class _Granted(NamedTuple):
-    """A permit that has not come back."""
+class _GrantedPermit(NamedTuple):
+    """A permit that has not been returned."""
 
     service: ids.ServiceName
     server: servers_lib.Server
     place: queueing.QueueTier
-    # Whether it took a slot of the service's queue beside the server's.
+    # Whether it occupies a slot of the service's queue besides the server's.
     is_shared: bool
     expires_s: float
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _Waiting:
+class _Waiter:
     """A request that waits for a slot."""
 
     scope: anyio.CancelScope
     done: anyio.Event
-    # When it was last asked for.
-    heard_s: float
+    # When it was last requested.
+    last_polled_s: float
     reply: permits.Reply | None = None
 
 
@@ -79,17 +81,18 @@
     """The servers of one service in this failure domain."""
 
     def __init__(self, queue: queueing.TierQueue) -> None:
-        """Knows no server yet."""
-        # For requests that any of the servers can serve.
+        """Starts without any servers."""
+        # The queue of requests that any of the servers can serve.
         self.queue = queue
         self.servers: dict[ids.ServerId, servers_lib.Server] = {}
-        # Those that stay; the others only finish what they own.
+        # Servers that are not leaving; the others only serve keys that they
+        # own.
         self.staying: set[ids.ServerId] = set()
         self.counted_s = float("-inf")
 
 
 class PermitIssuer:
-    """Counts for all instances who is at the servers of a failure domain."""
+    """Counts the requests of all instances at a failure domain's servers."""
 
     def __init__(
         self,
@@ -100,24 +103,25 @@
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
-        is_certain: Callable[[ids.ServiceName], bool] = lambda _: False,
+        is_sole_issuer: Callable[[ids.ServiceName], bool] = lambda _: False,
         warmups: warmups_lib.WarmupSettings | None = None,
     ) -> None:
-        """Has given out nothing.
+        """Starts without any permits.
 
         Args:
-            settings: How permits are given out.
-            server_settings: How servers are judged from what came of permits.
+            settings: Timing and limits.
+            server_settings: How servers are rated by the outcomes of permits.
             domain: The failure domain of this instance.
             book: The servers that this instance knows.
-            journal: Told of permits that never came back.
+            journal: Records permits that were never returned.
             metrics: Counts verdicts.
-            clock: For all times.
-            is_certain: Whether no other instance counts for the servers of a
-                service here; if left out, cold ones get nothing.
-            warmups: How cold servers are filled.
+            clock: Measures all times.
+            is_sole_issuer: Whether no other instance issues permits for a
+                service in this domain; if omitted, none are issued for cold
+                servers.
+            warmups: How permits for cold servers are issued.
         """
-        # Whether others should be asked instead.
+        # Whether requests should go to another issuer.
         self.is_stopping = False
         self._settings = settings
         self._server_settings = server_settings
@@ -126,101 +130,106 @@
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
-        self._is_certain = is_certain
+        self._is_sole_issuer = is_sole_issuer
         self._warmups = warmups_lib.WarmupLedger(
             warmups or warmups_lib.WarmupSettings(), book.bounds, clock
         )
         self._pools: dict[ids.ServiceName, _Pool] = {}
-        self._granted: dict[str, _Granted] = {}
-        self._waiting: dict[str, _Waiting] = {}
+        self._granted: dict[str, _GrantedPermit] = {}
+        self._waiters: dict[str, _Waiter] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     @property
     def granted_count(self) -> int:
-        """Permits that have not come back."""
+        """The number of permits that have not been returned."""
         return len(self._granted)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins to answer.
+        """Starts issuing permits.
 
         Args:
-            tasks: Where requests wait.
+            tasks: Runs the tasks of waiting requests.
         """
         self._tasks = tasks
 
-    async def ask(self, ask: permits.Ask) -> permits.Reply:
-        """Answers one who asks for a permit."""
-        reply = await self._ask(ask)
-        labels = {"service": ask.service, "verdict": reply.verdict.value}
+    async def handle_request(self, request: permits.Request) -> permits.Reply:
+        """Answers a request for a permit."""
+        reply = await self._handle(request)
+        labels = {"service": request.service, "verdict": reply.verdict.value}
         self._metrics.permits.inc(labels)
         return reply
 
-    def take_back(self, back: permits.Return) -> None:
-        """Takes a permit back."""
-        waiting = self._waiting.pop(back.ticket, None)
-        if waiting is not None:
-            waiting.scope.cancel()
-        granted = self._granted.pop(back.ticket, None)
+    def handle_return(self, returned: permits.Return) -> None:
+        """Processes a returned permit."""
+        waiter = self._waiters.pop(returned.ticket, None)
+        if waiter is not None:
+            waiter.scope.cancel()
+        granted = self._granted.pop(returned.ticket, None)
         if granted is None:
             return
-        self._learn(granted.server, back)
-        self._release(granted, back.held_s)
-
-    # Asking.
-
-    async def _ask(self, ask: permits.Ask) -> permits.Reply:
-        """Answers one who asks."""
-        pool = self._pool(ask.service)
-        server = pool.servers.get(ask.server_id)
-        turned_away = self._turn_away(ask, pool, server)
-        if turned_away is not None:
-            return turned_away
-        granted = self._granted.get(ask.ticket)
-        if granted is not None and ask.ticket not in self._waiting:
-            # Heard twice: one slot is enough. It covers no cold server, since
-            # nobody can tell how old it is.
+        self._note_outcome(granted.server, returned)
+        self._release(granted, returned.held_s)
+
+    # Requests.
+
+    async def _handle(self, request: permits.Request) -> permits.Reply:
+        """Decides on a request."""
+        pool = self._pool(request.service)
+        server = pool.servers.get(request.server_id)
+        refusal = self._refuse_early(request, pool, server)
+        if refusal is not None:
+            return refusal
+        granted = self._granted.get(request.ticket)
+        if granted is not None and request.ticket not in self._waiters:
+            # A repeated request needs only one slot. The permit does not cover
+            # a cold server, since its age is unknown.
             server_id = granted.server.listed.server_id
             return permits.Reply(permits.Verdict.GRANTED, server_id)
-        waiting = self._waiting.get(ask.ticket)
-        if waiting is not None:
-            return await self._hold(ask, waiting, self._settings.hold_again_s)
-        return await self._ask_first(ask, pool, server)
+        waiter = self._waiters.get(request.ticket)
+        if waiter is not None:
+            return await self._long_poll(
+                request, waiter, self._settings.repeat_long_poll_s
+            )
+        return await self._handle_first(request, pool, server)
 
-    async def _ask_first(
+    async def _handle_first(
         self,
-        ask: permits.Ask,
+        request: permits.Request,
         pool: _Pool,
         server: servers_lib.Server | None,
     ) -> permits.Reply:
-        """Answers one who has not asked for this request before."""
+        """Decides on a request that was not received before."""
         now_s = self._clock.monotonic_s()
         queue = server.queue if server is not None else pool.queue
         due = queueing.Deadlines(
-            now_s + ask.target_in_s, now_s + ask.deadline_in_s
+            now_s + request.target_in_s, now_s + request.deadline_in_s
         )
-        if queue.try_acquire(self._place(ask), due):
-            return self._grant(ask, pool, server, may_be_cold=True)
+        if queue.try_acquire(self._tier_place(request), due):
+            return self._grant(request, pool, server, may_be_cold=True)
         is_cold = server is not None and self._is_cold(server)
-        if is_cold or not ask.may_wait:
-            # Who waits for a cold one would not know how old a permit is.
-            wait_s = queue.estimate_wait_s(ask.priority)
+        if is_cold or not request.may_wait:
+            # After waiting for a cold server, the age of a permit would be
+            # unknown.
+            wait_s = queue.estimate_wait_s(request.priority)
             return permits.Reply(permits.Verdict.FULL, wait_s=wait_s)
-        waiting = _Waiting(anyio.CancelScope(), anyio.Event(), now_s)
-        self._waiting[ask.ticket] = waiting
-        assert self._tasks is not None  # or it would have been turned away
-        self._tasks.start_soon(self._wait, ask, waiting, queue, due)
-        return await self._hold(ask, waiting, self._settings.hold_s)
+        waiter = _Waiter(anyio.CancelScope(), anyio.Event(), now_s)
+        self._waiters[request.ticket] = waiter
+        assert self._tasks is not None  # otherwise refused before
+        self._tasks.start_soon(self._wait, request, waiter, queue, due)
+        return await self._long_poll(
+            request, waiter, self._settings.long_poll_s
+        )
 
-    def _turn_away(
+    def _refuse_early(
         self,
-        ask: permits.Ask,
+        request: permits.Request,
         pool: _Pool,
         server: servers_lib.Server | None,
     ) -> permits.Reply | None:
-        """Returns why nothing can be done for a request; None if it can."""
+        """Returns an immediate refusal; None if a slot may be found."""
         if self.is_stopping or self._tasks is None or not pool.servers:
             return permits.Reply(permits.Verdict.ELSEWHERE)
-        if not ask.server_id:
+        if not request.server_id:
             return None
         if server is None:
             return permits.Reply(permits.Verdict.UNCOUNTED)
@@ -230,132 +239,142 @@
         rest_s = self._rest_left_s(server)
         if rest_s > 0:
             return _refuse("the server wants to be left alone", rest_s)
-        wait_s = self._cold_wait_s(ask.service, server)
+        wait_s = self._cold_wait_s(request.service, server)
         return _refuse("the server is warming up", wait_s) if wait_s else None
 
     def _rest_left_s(self, server: servers_lib.Server) -> float:
-        """Returns for how long a server wants nothing from this instance.
+        """Returns for how long a server has asked not to get requests.
 
-        Whoever asks for a permit may not have been told, but would be.
+        The requesting instance may not have been asked yet, but would be.
         """
         return self._book.notices.backoff_left_s(server.listed.server_id)
 
     # Cold servers.
 
     def _is_cold(self, server: servers_lib.Server) -> bool:
-        """Whether a server must be taken for cold."""
+        """Whether a server must be treated as cold."""
         return self._cold_rate_per_s(server) is not None
 
     def _cold_rate_per_s(self, server: servers_lib.Server) -> float | None:
-        """Returns what a server bears if it is cold; None if it is not."""
-        known = self._book.get(server.listed.server_id)
-        return None if known is None else self._book.cold_rate_per_s(known)
+        """Returns the request rate for a cold server; None if it is warm."""
+        registered = self._book.get(server.listed.server_id)
+        return (
+            None
+            if registered is None
+            else self._book.cold_rate_per_s(registered)
+        )
 
     def _cold_wait_s(
         self, service: ids.ServiceName, server: servers_lib.Server
     ) -> float:
-        """Returns how long until a server may have one more; 0 if at once."""
+        """Returns how long until a server may get a request; 0 if at once."""
         rate_per_s = self._cold_rate_per_s(server)
         if rate_per_s is None:
             return 0.0
         server_id = server.listed.server_id
         wait_s = math.inf
-        if self._is_certain(service):
+        if self._is_sole_issuer(service):
             wait_s = self._warmups.wait_s(server_id, rate_per_s)
-        known = self._book.get(server_id)
-        if known is None:
+        registered = self._book.get(server_id)
+        if registered is None:
             return wait_s
-        # By then it is warm.
-        return min(wait_s, known.cold_until_s - self._clock.monotonic_s())
+        # The server is warm by then.
+        return min(wait_s, registered.cold_until_s - self._clock.monotonic_s())
 
-    async def _hold(
-        self, ask: permits.Ask, waiting: _Waiting, hold_s: float
+    async def _long_poll(
+        self, request: permits.Request, waiter: _Waiter, long_poll_s: float
     ) -> permits.Reply:
-        """Waits for a slot, but no longer than an asker may be left waiting."""
-        waiting.heard_s = self._clock.monotonic_s()
-        with anyio.move_on_after(hold_s):
-            await waiting.done.wait()
-        if waiting.reply is None:
+        """Waits for a slot, for a limited time before an interim answer."""
+        waiter.last_polled_s = self._clock.monotonic_s()
+        with anyio.move_on_after(long_poll_s):
+            await waiter.done.wait()
+        if waiter.reply is None:
             return permits.Reply(permits.Verdict.WAITING)
-        self._waiting.pop(ask.ticket, None)
-        return waiting.reply
+        self._waiters.pop(request.ticket, None)
+        return waiter.reply
 
     async def _wait(
         self,
-        ask: permits.Ask,
-        waiting: _Waiting,
+        request: permits.Request,
+        waiter: _Waiter,
         queue: queueing.TierQueue,
         due: queueing.Deadlines,
     ) -> None:
         """Waits in a queue on behalf of a request."""
-        with waiting.scope:
-            slot = await queue.acquire(self._place(ask), due)
+        with waiter.scope:
+            slot = await queue.acquire(self._tier_place(request), due)
             if isinstance(slot, queueing.Refused):
                 wait_s = slot.retry_after_ms / 1_000
-                waiting.reply = _refuse(slot.reason, wait_s)
+                waiter.reply = _refuse(slot.reason, wait_s)
             else:
-                waiting.reply = self._grant_late(ask, queue)
-        waiting.done.set()
+                waiter.reply = self._grant_after_wait(request, queue)
+        waiter.done.set()
 
-    def _grant_late(
-        self, ask: permits.Ask, queue: queueing.TierQueue
+    def _grant_after_wait(
+        self, request: permits.Request, queue: queueing.TierQueue
     ) -> permits.Reply:
-        """Gives a permit to one that waited; its servers may have gone."""
-        pool = self._pool(ask.service)
-        server = pool.servers.get(ask.server_id)
-        if ask.server_id:
+        """Grants a permit after waiting, if its server is still usable."""
+        pool = self._pool(request.service)
+        server = pool.servers.get(request.server_id)
+        if request.server_id:
             is_there = server is not None and server.queue is queue
         else:
             is_there = bool(pool.servers)
         if server is not None and self._is_cold(server):
-            # It has turned cold meanwhile, and the permit would not count.
-            queue.release(queue.settings.first_guess_s, self._place(ask))
-            wait_s = self._cold_wait_s(ask.service, server)
+            # It has become cold meanwhile, and a permit would not cover it.
+            queue.release(
+                queue.settings.first_guess_s, self._tier_place(request)
+            )
+            wait_s = self._cold_wait_s(request.service, server)
             return _refuse("the server is warming up", wait_s)
         rest_s = self._rest_left_s(server) if server is not None else 0.0
         if rest_s > 0:
-            queue.release(queue.settings.first_guess_s, self._place(ask))
+            queue.release(
+                queue.settings.first_guess_s, self._tier_place(request)
+            )
             return _refuse("the server wants to be left alone", rest_s)
         if is_there:
-            return self._grant(ask, pool, server, may_be_cold=False)
-        queue.release(queue.settings.first_guess_s, self._place(ask))
+            return self._grant(request, pool, server, may_be_cold=False)
+        queue.release(queue.settings.first_guess_s, self._tier_place(request))
         return permits.Reply(permits.Verdict.UNCOUNTED)
 
     def _grant(
         self,
-        ask: permits.Ask,
+        request: permits.Request,
         pool: _Pool,
         server: servers_lib.Server | None,
         *,
         may_be_cold: bool,
     ) -> permits.Reply:
-        """Gives a permit; the slot in the queue has been taken.
+        """Grants a permit; the slot in the queue has already been acquired.
 
         Args:
-            ask: The request.
+            request: The request for a permit.
             pool: The servers of its service.
             server: The only one that can serve it; None if any can.
-            may_be_cold: Whether it may be for a cold server; who waited may
-                have asked long ago.
+            may_be_cold: Whether a cold server may be used; not after waiting,
+                since the request may be old.
         """
         now_s = self._clock.monotonic_s()
-        place = self._place(ask)
+        place = self._tier_place(request)
         is_shared = server is None
         chosen = server or self._choose(
-            ask, pool, now_s, may_be_cold=may_be_cold
+            request, pool, now_s, may_be_cold=may_be_cold
         )
         if chosen is None:
             pool.queue.release(pool.queue.settings.first_guess_s, place)
-            return self._put_off(ask, pool)
+            return self._refuse_unavailable(request, pool)
         server = chosen
         if is_shared:
             server.queue.take(place)
         covers_cold = may_be_cold and self._is_cold(server)
         if covers_cold:
-            self._warmups.take(server.listed.server_id)
-        expires_s = now_s + ask.deadline_in_s + self._settings.expiry_margin_s
-        self._granted[ask.ticket] = _Granted(
-            ask.service, server, place, is_shared, expires_s
+            self._warmups.record_grant(server.listed.server_id)
+        expires_s = (
+            now_s + request.deadline_in_s + self._settings.expiry_margin_s
+        )
+        self._granted[request.ticket] = _GrantedPermit(
+            request.service, server, place, is_shared, expires_s
         )
         return permits.Reply(
             permits.Verdict.GRANTED,
@@ -363,16 +382,18 @@
             covers_cold=covers_cold,
         )
 
-    def _put_off(self, ask: permits.Ask, pool: _Pool) -> permits.Reply:
-        """Says when there may be room at servers that all rest or are cold."""
+    def _refuse_unavailable(
+        self, request: permits.Request, pool: _Pool
+    ) -> permits.Reply:
+        """Refuses a request whose servers all reject requests or are cold."""
         wait_s = min(
             max(
                 self._rest_left_s(server),
-                self._cold_wait_s(ask.service, server),
+                self._cold_wait_s(request.service, server),
             )
             for server in pool.servers.values()
         )
-        if ask.may_wait:
+        if request.may_wait:
             are_resting = all(map(self._rest_left_s, pool.servers.values()))
             what = "want to be left alone" if are_resting else "are warming up"
             return _refuse(f"the servers {what}", wait_s)
@@ -380,91 +401,96 @@
 
     def _choose(
         self,
-        ask: permits.Ask,
+        request: permits.Request,
         pool: _Pool,
         now_s: float,
         *,
         may_be_cold: bool,
     ) -> servers_lib.Server | None:
-        """Returns the server that would answer soonest.
+        """Returns the server that is expected to answer soonest.
 
-        None if all that there are rest, or are cold and have had what they
-        bear.
+        None if all servers have asked not to get requests, or are cold and
+        have got all the requests that they may get.
         """
         awake = {
             server_id: server
             for server_id, server in pool.servers.items()
             if not self._rest_left_s(server)
         }
-        known = [
+        eligible = [
             server
             for server_id, server in awake.items()
             if server_id in pool.staying
         ]
-        known = known or list(awake.values())
-        known = [
+        eligible = eligible or list(awake.values())
+        eligible = [
             server
-            for server in known
+            for server in eligible
             if not self._is_cold(server)
-            or (may_be_cold and not self._cold_wait_s(ask.service, server))
+            or (may_be_cold and not self._cold_wait_s(request.service, server))
         ]
-        if not known:
+        if not eligible:
             return None
-        ready = [s for s in known if s.paused_until_s <= now_s] or known
-        fresh = [s for s in ready if s.listed.server_id not in ask.tried]
+        ready = [s for s in eligible if s.paused_until_s <= now_s] or eligible
+        fresh = [s for s in ready if s.listed.server_id not in request.tried]
         candidates = fresh or ready
         free = [s for s in candidates if s.queue.busy < s.queue.settings.slots]
         return min(
             free or candidates, key=lambda s: s.cost_s(self._domain, now_s)
         )
 
-    def _place(self, ask: permits.Ask) -> queueing.QueueTier:
-        """Returns how a request stands in queues."""
+    def _tier_place(self, request: permits.Request) -> queueing.QueueTier:
+        """Returns the queue position parameters of a request."""
         return queueing.QueueTier(
-            str(ask.priority), ask.priority, self._settings.waiting_max_count
+            str(request.priority),
+            request.priority,
+            self._settings.waiting_max_count,
         )
 
-    # Counting.
+    # Outcomes and slots.
 
-    def _learn(self, server: servers_lib.Server, back: permits.Return) -> None:
-        """Takes in what came of a permit."""
+    def _note_outcome(
+        self, server: servers_lib.Server, returned: permits.Return
+    ) -> None:
+        """Updates a server's statistics with the outcome of a permit."""
         now_s = self._clock.monotonic_s()
-        ending = back.ending
-        if back.pace_ratio > 0:
-            server.note_pace(back.pace_ratio, now_s)
-        if ending is permits.Ending.ANSWERED:
-            server.note_answer(back.held_s, failed=False)
-        elif ending in (permits.Ending.FAILED, permits.Ending.SHED):
-            # One that turns requests away has no more of them than slots, so it
-            # does not lack room: fewer would leave it idle, and the owner of a
-            # key with a queue that never ends.
-            server.note_answer(back.held_s, failed=True)
-        elif ending is permits.Ending.INTERRUPTED:
+        outcome = returned.outcome
+        if returned.pace_ratio > 0:
+            server.note_pace(returned.pace_ratio, now_s)
+        if outcome is permits.Outcome.ANSWERED:
+            server.note_answer(returned.held_s, failed=False)
+        elif outcome in (permits.Outcome.FAILED, permits.Outcome.SHED):
+            # A server that sheds has no more requests than slots, so its slots
+            # are not reduced: fewer would leave it idle, and would leave the
+            # owner of a key with a queue that never empties.
+            server.note_answer(returned.held_s, failed=True)
+        elif outcome is permits.Outcome.INTERRUPTED:
             server.note_interrupted()
-        elif ending is permits.Ending.REFUSED:
+        elif outcome is permits.Outcome.REFUSED:
             server.note_refused(now_s)
-            known = self._book.get(server.listed.server_id)
-            if known is not None:
-                # Whoever answers there next has just started, for all.
-                known.mark_cold(now_s + known.warmup_s)
-        elif ending is permits.Ending.UNREACHABLE:
+            registered = self._book.get(server.listed.server_id)
+            if registered is not None:
+                # The next server to answer there has just started, whichever
+                # instance reaches it.
+                registered.mark_cold(now_s + registered.warmup_s)
+        elif outcome is permits.Outcome.UNREACHABLE:
             server.note_unreachable(now_s)
 
-    def _release(self, granted: _Granted, held_s: float) -> None:
-        """Gives the slots of a permit to those that wait."""
+    def _release(self, granted: _GrantedPermit, held_s: float) -> None:
+        """Frees the slots of a permit for waiting requests."""
         granted.server.queue.release(held_s, granted.place)
         if granted.is_shared:
             pool = self._pools[granted.service]
             pool.queue.release(held_s, granted.place)
 
     def sweep(self) -> None:
-        """Forgets what nobody asks for, and permits that never came back."""
+        """Drops abandoned requests, and permits that were never returned."""
         self._warmups.sweep()
         now_s = self._clock.monotonic_s()
-        for ticket, waiting in list(self._waiting.items()):
-            if now_s - waiting.heard_s > self._settings.forget_s:
-                del self._waiting[ticket]
-                waiting.scope.cancel()
+        for ticket, waiter in list(self._waiters.items()):
+            if now_s - waiter.last_polled_s > self._settings.waiter_timeout_s:
+                del self._waiters[ticket]
+                waiter.scope.cancel()
                 self._forget(ticket)
         overdue = [
             ticket
@@ -477,14 +503,14 @@
             self._journal.decision("permits_expired", count=len(overdue))
 
     def _forget(self, ticket: str) -> None:
-        """Frees the slots of a permit that nobody uses."""
+        """Frees the slots of an unused or expired permit."""
         granted = self._granted.pop(ticket, None)
         if granted is not None:
             queue = granted.server.queue
             self._release(granted, queue.settings.first_guess_s)
 
     def _pool(self, service: ids.ServiceName) -> _Pool:
-        """Returns the servers of a service as of now."""
+        """Returns the servers of a service, refreshed when due."""
         now_s = self._clock.monotonic_s()
         pool = self._pools.get(service)
         if pool is None:
@@ -498,7 +524,7 @@
     def _recount(
         self, service: ids.ServiceName, pool: _Pool, now_s: float
     ) -> None:
-        """Takes in which servers there are."""
+        """Updates the servers of a pool from the known ones."""
         near = [
             server
             for server in self._book.of_service(service)
@@ -517,8 +543,8 @@
         for server_id in pool.servers.keys() - listed.keys():
             del pool.servers[server_id]
         for server_id, each in listed.items():
-            known = pool.servers.get(server_id)
-            if known is None:
+            existing = pool.servers.get(server_id)
+            if existing is None:
                 pool.servers[server_id] = servers_lib.Server(
                     each,
                     self._make_queue(each.slots),
@@ -526,7 +552,7 @@
                     now_s,
                 )
             else:
-                known.listed = each
+                existing.listed = each
         slots = sum(
             self._usable_slots(s)
             for s in pool.servers.values()
@@ -537,9 +563,10 @@
         pool.queue.settings = self._queue_settings(max(slots, 1))
 
     def _usable_slots(self, server: servers_lib.Server) -> int:
-        """Returns how many requests a server is counted for.
+        """Returns how many slots of a server are counted.
 
-        A cold one works on about one at a time at the rate that it bears.
+        A cold server at its permitted rate works on about one request at a
+        time.
         """
         return 1 if self._is_cold(server) else server.queue.settings.slots
 
@@ -558,7 +585,7 @@
 
 
 def _refuse(reason: str, wait_s: float) -> permits.Reply:
-    """Returns a refusal with the time after which to come back."""
+    """Returns a refusal with the time after which to retry."""
     return permits.Reply(
         permits.Verdict.REFUSED,
         wait_s=wait_s,
--- a/libs/bridgecross-entry/src/bridgecross_entry/permits.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permits.py
@@ -1,15 +1,16 @@
-"""Permits: who may have a request at a backend server, over all instances.
-
-Where hundreds of instances share a service, each has a small part of a slot at
-each of its servers, sees each server too seldom to know how fast it is, and
-cannot tell how many others are there: servers' queues fill in order of arrival
-beside others that are free. So one instance of each failure domain counts for
-all who is at the servers of a service there. It gives out permits, one for each
-slot, in order of priority; requests still go straight from the instance that
-took them. Losing the one that counts loses no request: those who cannot ask
-choose by what they know, and the next one begins to count anew.
-
-The types here are what instances tell one another about permits.
+"""Permits, which limit the requests of all instances at a backend server.
+
+If hundreds of instances share a service, each has a small fraction of a slot at
+each server, sees each server too seldom to know how fast it is, and cannot tell
+how many requests of other instances are there: queues of some servers fill in
+order of arrival while other servers are idle. Therefore one instance of each
+failure domain counts the requests of all instances at a service's servers in
+that domain. It issues permits, one for each slot, in order of priority;
+requests still go directly from the instance that received them. Losing the
+issuer loses no request: instances that cannot reach it choose servers by their
+own knowledge, and the next issuer starts counting from zero.
+
+The types here are the messages about permits between instances.
 """
 
 from collections.abc import Iterable
@@ -24,39 +25,39 @@
 from bridgecross_entry import model
 
 PATH = b"/permits"
-"""Where an instance is asked for permits, and given them back."""
+"""The path at which instances request and return permits."""
 
 _FIRST_ERROR_STATUS = 500
 
 
 class Verdict(enum.Enum):
-    """What an issuer says to one who asks."""
+    """An issuer's decision on a request."""
 
     GRANTED = "granted"
-    """The permit is given, until it is returned or its deadline has passed."""
+    """The permit is granted until it is returned or its deadline has passed."""
 
     FULL = "full"
-    """There is no slot at this moment; nothing waits on the asker's behalf."""
+    """There is no free slot; the request has not been queued."""
 
     WAITING = "waiting"
-    """The request has a place in the queue; ask again under the same ticket."""
+    """The request is queued; repeat it with the same ticket."""
 
     REFUSED = "refused"
-    """There will be no slot in time."""
+    """There will be no free slot in time."""
 
     ELSEWHERE = "elsewhere"
-    """Another should be asked: it is stopping, or knows no server yet."""
+    """Ask another issuer: this one is stopping, or knows no server yet."""
 
     UNCOUNTED = "uncounted"
-    """It does not count the one server that can serve the request, which may
-    have come or gone a moment ago; no permit is needed there."""
+    """The issuer does not know the only server that can serve the request,
+    which may just have started or ended; no permit is needed there."""
 
 
-class Ending(enum.Enum):
-    """What came of a permit."""
+class Outcome(enum.Enum):
+    """The outcome of the request that a permit was used for."""
 
     UNUSED = "unused"
-    """Nothing was sent, or the caller left."""
+    """Nothing was sent, or the caller disconnected."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -67,61 +68,61 @@
     """The address refused the connection."""
 
     DENIED = "denied"
-    """The server does not own the key, or is another one."""
+    """The server does not own the key, or another server answered."""
 
 
-class Ask(NamedTuple):
-    """A request that wants a permit."""
+class Request(NamedTuple):
+    """A request for a permit."""
 
     service: ids.ServiceName
-    # Names the request at the issuer; the same each time it is asked again.
+    # Identifies the request at the issuer; the same when it is repeated.
     ticket: str
     # 0 goes first.
     priority: int
-    # How long until an answer is worth less, and until it is worth nothing.
+    # The time left until the target latency, and until the deadline.
     target_in_s: float
     deadline_in_s: float
     # The only server that can serve it; empty if any of the service can.
     server_id: ids.ServerId
-    # Servers that it was sent to before.
+    # Servers to which it was sent before.
     tried: tuple[ids.ServerId, ...]
     # Whether it may wait for a slot.
     may_wait: bool
 
 
 class Reply(NamedTuple):
-    """What an issuer says."""
+    """An issuer's answer."""
 
     verdict: Verdict
-    # Where the request may go; empty unless granted.
+    # The server to use; empty unless granted.
     server_id: ids.ServerId = ids.ServerId("")
-    # How long a request like it would wait for a slot.
+    # The expected wait of such a request for a slot.
     wait_s: float = 0.0
-    # Why it is refused.
+    # Why the request is refused.
     reason: str = ""
-    # When to come back, if refused.
+    # When to retry, if refused.
     retry_after_ms: int = 0
-    # Whether it was counted against what a cold server bears.
+    # Whether it was counted against the rate of a cold server.
     covers_cold: bool = False
 
 
 class Return(NamedTuple):
-    """A permit that is given back."""
+    """The return of a permit."""
 
     ticket: str
-    # For how long the request was at the server.
+    # How long the request was at the server.
     held_s: float
-    ending: Ending
-    # How many times as long as usual work takes there, as it says; 0 if it
-    # does not.
+    outcome: Outcome
+    # How many times as long as usual processing takes, as the server states; 0
+    # if it does not.
     pace_ratio: float = 0.0
 
 
 class Message(NamedTuple):
-    """What one instance sends to an issuer: one of the two."""
+    """A message to an issuer, which contains one of the two."""
 
-    ask: Ask | None = None
-    back: Return | None = None
+    request: Request | None = None
+    returned: Return | None = None
 
 
 MESSAGES = codec.Codec(Message)
@@ -131,27 +132,27 @@
 def rank_issuers(
     service: ids.ServiceName, domain: str, candidates: Iterable[model.Address]
 ) -> list[model.Address]:
-    """Returns who counts for the servers of a failure domain, the best first.
+    """Ranks the possible issuers for a failure domain's servers, best first.
 
     Args:
         service: The service of the servers.
         domain: Their failure domain.
-        candidates: The instances of that domain that may count.
+        candidates: The instances of that domain that may issue permits.
     """
     by_name = {str(address): address for address in candidates}
     names = hashing.rank_by_rendezvous(f"{service}/{domain}", by_name)
     return [by_name[name] for name in names]
 
 
-def name_ending(result: attempts.Attempt) -> Ending:
-    """Returns what the end of an attempt says of the server."""
+def classify_attempt(result: attempts.Attempt) -> Outcome:
+    """Returns the permit outcome for the result of an attempt."""
     if isinstance(result, outcomes.Answered):
         failed = result.status >= _FIRST_ERROR_STATUS
-        return Ending.FAILED if failed else Ending.ANSWERED
+        return Outcome.FAILED if failed else Outcome.ANSWERED
     if isinstance(result, attempts.Shed):
-        return Ending.SHED
+        return Outcome.SHED
     if isinstance(result, attempts.Interrupted):
-        return Ending.INTERRUPTED
+        return Outcome.INTERRUPTED
     if isinstance(result, attempts.NotOwner):
-        return Ending.DENIED
-    return Ending.REFUSED if result.refused else Ending.UNREACHABLE
+        return Outcome.DENIED
+    return Outcome.REFUSED if result.refused else Outcome.UNREACHABLE
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -21,7 +21,7 @@
 from bridgecross_entry import leadership
 from bridgecross_entry import model
 from bridgecross_entry import peers
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
         held: cluster_state.ClusterState,
         lead: leadership.Leadership,
         client: peers.PeerClient,
-        news: poison_news.PoisonNews,
+        news: poison_broadcast.PoisonBroadcaster,
         addresses: Callable[[], tuple[model.Address, ...]],
         journal: journals.Journal,
         clock: clocks.Clock,
@@ -265,7 +265,7 @@
         if answer.reception is peers.Reception.ACCEPTED:
             self._known[peer] = answer.reply.offsets or word.offsets
             self._beliefs.apply_from_follower(answer.reply.batches)
-            self._news.compare(peer, answer.reply.poison_digest)
+            self._news.reconcile(peer, answer.reply.poison_digest)
         return answer
 
     def _make_echo(
--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -78,7 +78,7 @@
                 edge.make_peer_app(
                     peer_server,
                     self._parts.issuer,
-                    self._parts.duties.poison_news,
+                    self._parts.duties.poison_broadcast,
                 ),
             ),
             listener.Listener(
--- a/libs/bridgecross-entry/src/bridgecross_entry/warmups.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/warmups.py
@@ -1,11 +1,12 @@
-"""How many requests cold servers get, over all instances.
-
-A server that has started a moment ago falls over under what a warm one bears,
-and no instance sees what the others send it. So each request that reaches a
-cold server has a permit, and one instance gives these out: the one that counts
-for the servers of a service in their failure domain, and only while it is
-certain to be alone in that. It gives half of what is allowed, so that what was
-held up on the way, or came from one that should not have counted, fits as well.
+"""Limits how many requests cold servers get from all instances together.
+
+A server that has just started collapses under the load that a warm one can
+handle, and no instance sees what the others send to it. Therefore each request
+to a cold server needs a permit. These are issued by a single instance, the
+permit issuer for the service in that failure domain, and only while it is
+certain to be the sole issuer. It issues half of the allowed number, which
+leaves room for delayed requests and for permits of another instance that
+wrongly took itself for the issuer.
 """
 
 from collections.abc import Callable
@@ -18,33 +19,34 @@
 from bridgecross_entry import permits
 
 _ISSUED_MAX_COUNT = 10_000
-"""Permits in a window that are remembered for a server; one that bears more
-need not be taken for cold."""
+"""The largest number of permits per window for one server; a server that can
+handle more need not be treated as cold."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WarmupSettings:
-    """How permits for cold servers are given out."""
+    """How permits for cold servers are issued."""
 
-    # The part of what a cold server may get that one issuer gives out.
+    # The share of a cold server's allowed requests that one issuer permits.
     issued_ratio: float = 0.5
-    # A permit for a cold server is used so soon after it was asked for, or not
-    # at all.
+    # A permit for a cold server is used within this time after it was
+    # requested, or not at all.
     use_within_s: float = 0.5
-    # Requests that arrive within a second were permitted within this time: a
-    # second, the time to use a permit, and 0.25 s to connect.
+    # Requests that arrive within one second were permitted within this time:
+    # one second, the time to use a permit, and 0.25 s to connect.
     window_s: float = 1.75
-    # Who counts is known by the list of instances. One that is older says
-    # nothing of who else may have been ranked first since.
+    # The issuer follows from the list of instances. A list older than this does
+    # not show which other instance may have been ranked first since.
     list_age_max_s: float = 3.0
-    # Once the list has changed, nobody is certain for this long. It is longer
-    # than a list may be old, so any two that are certain have known the list
-    # of the same moment, and it ranks one of them first.
-    settle_s: float = 3.5
+    # After a change of the list, no instance is certain for this long. It is
+    # longer than the age of a usable list, so any two instances that are
+    # certain have both seen the list of some common moment, which ranks only
+    # one of them first.
+    list_stable_s: float = 3.5
 
 
-class IssuerCertainty:
-    """Whether this instance is the only one that counts for some servers."""
+class SoleIssuerCheck:
+    """Checks whether this instance is the sole permit issuer for servers."""
 
     def __init__(
         self,
@@ -52,31 +54,31 @@
         own: model.Address,
         candidates: Callable[[str], tuple[model.Address, ...]],
         list_age_s: Callable[[], float],
-        list_settled_s: Callable[[], float],
+        list_unchanged_s: Callable[[], float],
     ) -> None:
-        """Asks nothing yet.
+        """Stores the sources of information.
 
         Args:
-            settings: How sure it must be.
-            own: Where this instance listens.
+            settings: The required ages of the list of instances.
+            own: The address of this instance.
             candidates: Returns the instances of a failure domain that may
-                count; the same object until they change.
+                issue permits; the same object until they change.
             list_age_s: Returns how long ago the list of instances was known to
                 be the newest.
-            list_settled_s: Returns for how long it has not changed.
+            list_unchanged_s: Returns for how long it has not changed.
         """
         self._settings = settings
         self._own = own
         self._candidates = candidates
         self._list_age_s = list_age_s
-        self._list_settled_s = list_settled_s
+        self._list_settled_s = list_unchanged_s
 
-    def is_certain(self, service: ids.ServiceName, domain: str) -> bool:
-        """Whether no other instance counts for the servers at this moment."""
+    def is_sole_issuer(self, service: ids.ServiceName, domain: str) -> bool:
+        """Whether no other instance issues permits for the servers now."""
         settings = self._settings
         if self._list_age_s() > settings.list_age_max_s:
             return False
-        if self._list_settled_s() < settings.settle_s:
+        if self._list_settled_s() < settings.list_stable_s:
             return False
         candidates = self._candidates(domain)
         if self._own not in candidates:
@@ -87,19 +89,19 @@
 def count_issued(
     settings: WarmupSettings, bounds: model.Bounds, rate_per_s: float
 ) -> int:
-    """Returns how many permits for a cold server one window holds.
+    """Returns how many permits for a cold server may be issued per window.
 
     Args:
-        settings: How permits are given out.
-        bounds: What cold servers may get.
-        rate_per_s: Requests a second that a cold server bears.
+        settings: How permits are issued.
+        bounds: The platform's limits for cold servers.
+        rate_per_s: Requests per second that the cold server can handle.
     """
     allowed = rate_per_s * bounds.warmup_overage_ratio + bounds.warmup_slack
     return math.floor(min(allowed * settings.issued_ratio, _ISSUED_MAX_COUNT))
 
 
 class WarmupLedger:
-    """What an issuer has given out for cold servers."""
+    """Records the permits that an issuer has granted for cold servers."""
 
     def __init__(
         self,
@@ -107,41 +109,43 @@
         bounds: model.Bounds,
         clock: clocks.Clock,
     ) -> None:
-        """Has given out nothing.
+        """Starts without any permits.
 
         Args:
-            settings: How permits are given out.
-            bounds: What cold servers may get.
-            clock: For all times.
+            settings: How permits are issued.
+            bounds: The platform's limits for cold servers.
+            clock: Measures all times.
         """
         self._settings = settings
         self._bounds = bounds
         self._clock = clock
-        # When permits for each server were given, the newest last.
-        self._given_s: dict[ids.ServerId, list[float]] = {}
+        # When permits for each server were granted, the newest last.
+        self._granted_s: dict[ids.ServerId, list[float]] = {}
 
     def wait_s(self, server_id: ids.ServerId, rate_per_s: float) -> float:
-        """Returns how long until a permit may be given; 0 if at once."""
+        """Returns how long until a permit may be granted; 0 if at once."""
         limit = count_issued(self._settings, self._bounds, rate_per_s)
         if limit <= 0:
             return math.inf
-        from_s = self._clock.monotonic_s() - self._settings.window_s
-        given_s = [
-            at_s for at_s in self._given_s.get(server_id, ()) if at_s > from_s
+        since_s = self._clock.monotonic_s() - self._settings.window_s
+        granted_s = [
+            at_s
+            for at_s in self._granted_s.get(server_id, ())
+            if at_s > since_s
         ]
-        self._given_s[server_id] = given_s
-        return given_s[-limit] - from_s if len(given_s) >= limit else 0.0
+        self._granted_s[server_id] = granted_s
+        return granted_s[-limit] - since_s if len(granted_s) >= limit else 0.0
 
-    def take(self, server_id: ids.ServerId) -> None:
-        """Counts a permit that is given."""
-        given_s = self._given_s.setdefault(server_id, [])
-        given_s.append(self._clock.monotonic_s())
+    def record_grant(self, server_id: ids.ServerId) -> None:
+        """Records a permit that is granted now."""
+        granted_s = self._granted_s.setdefault(server_id, [])
+        granted_s.append(self._clock.monotonic_s())
 
     def sweep(self) -> None:
-        """Forgets what counts no more."""
-        from_s = self._clock.monotonic_s() - self._settings.window_s
-        self._given_s = {
-            server_id: given_s
-            for server_id, given_s in self._given_s.items()
-            if given_s and given_s[-1] > from_s
+        """Drops servers whose permits are all outside the window."""
+        since_s = self._clock.monotonic_s() - self._settings.window_s
+        self._granted_s = {
+            server_id: granted_s
+            for server_id, granted_s in self._granted_s.items()
+            if granted_s and granted_s[-1] > since_s
         }
--- a/libs/bridgecross-entry/tests/test_dispatch_notices.py
+++ b/libs/bridgecross-entry/tests/test_dispatch_notices.py
@@ -217,7 +217,7 @@
         self.asked.append(wanted)
         return self.permit
 
-    def give_back(self, permit, held_s, ending, pace_ratio=0.0):
+    def return_permit(self, permit, held_s, ending, pace_ratio=0.0):
         self.returned.append(ending)
 
 
@@ -227,7 +227,7 @@
     _tell(scene, REST, [A])
     assert await scene.ask() is scenes.OK
     assert backends.sent == ["b"]
-    assert scene.dispatcher._permits.returned == [permits.Ending.UNUSED]
+    assert scene.dispatcher._permits.returned == [permits.Outcome.UNUSED]
 
 
 @pytest.mark.parametrize(
--- a/libs/bridgecross-entry/tests/test_permit_client.py
+++ b/libs/bridgecross-entry/tests/test_permit_client.py
@@ -40,19 +40,19 @@
 
 
 class Issuers:
-    """Instances that answer by script; the last answer is repeated."""
+    """Issuers with scripted answers; the last answer is repeated."""
 
     def __init__(self) -> None:
         self.scripts: dict[model.Address, list] = {}
-        self.asked: list[model.Address] = []
-        self.asks: list[permits.Ask] = []
+        self.polled: list[model.Address] = []
+        self.requests: list[permits.Request] = []
         self.returned: list[permits.Return] = []
 
-    def connect(self, address: model.Address) -> "_Link":
-        return _Link(self, address)
+    def connect(self, address: model.Address) -> "_Connection":
+        return _Connection(self, address)
 
 
-class _Link:
+class _Connection:
     def __init__(self, issuers: Issuers, address: model.Address) -> None:
         self._issuers = issuers
         self._address = address
@@ -62,11 +62,11 @@
         await anyio.lowlevel.checkpoint()
         body = request.partition(b"\r\n\r\n")[2]
         message = permits.MESSAGES.decode(body)
-        if message.back is not None:
-            issuers.returned.append(message.back)
+        if message.returned is not None:
+            issuers.returned.append(message.returned)
             return exchange.Reply(200, (), b"")
-        issuers.asked.append(self._address)
-        issuers.asks.append(message.ask)
+        issuers.polled.append(self._address)
+        issuers.requests.append(message.request)
         script = issuers.scripts[self._address]
         reply = script.pop(0) if len(script) > 1 else script[0]
         if reply is SILENT:
@@ -100,17 +100,17 @@
         metrics.Metrics(),
         real,
     )
-    at = {"hall-1": near, "hall-2": (FAR,)}
+    addresses = {"hall-1": near, "hall-2": (FAR,)}
     return permit_client.PermitClient(
         permit_client.PermitSettings(
             timeout_s=0.05,
-            timeout_again_s=0.05,
+            repeat_timeout_s=0.05,
             first_pause_s=0.2,
             slot_share_interval_s=0.0,
         ),
         support.INSTANCE,
         own,
-        lambda domain: at[domain],
+        lambda domain: addresses[domain],
         lambda service: domains,
         journal,
         real,
@@ -121,7 +121,7 @@
 
 async def _obtain(client, *, server=None, is_current=lambda: True):
     now_s = clock.SystemClock().monotonic_s()
-    wanted = permit_client.Wanted(
+    applicant = permit_client.Applicant(
         RAPOR,
         1,
         queueing.Deadlines(now_s + 1.0, now_s + 2.0),
@@ -131,32 +131,39 @@
     )
     async with anyio.create_task_group() as tasks:
         client.start(tasks)
-        return await client.obtain(wanted)
+        return await client.obtain(applicant)
 
 
-LEAST = permit_client.PermitSettings().slot_share_least
-REST = LEAST * permit_client.PermitSettings().slot_share_rest_ratio
+MIN_SHARE = permit_client.PermitSettings().min_slot_share
+STOP_SHARE = (
+    MIN_SHARE * permit_client.PermitSettings().slot_share_hysteresis_ratio
+)
 
 
 @pytest.mark.parametrize(
     ("shares", "expected"),
     [
-        pytest.param([LEAST], [False], id="few instances"),
-        pytest.param([0.99 * LEAST], [True], id="many instances"),
+        pytest.param([MIN_SHARE], [False], id="few instances"),
+        pytest.param([0.99 * MIN_SHARE], [True], id="many instances"),
         pytest.param([math.inf], [False], id="no server is known"),
         pytest.param(
-            [0.9 * LEAST, 1.1 * LEAST, 0.9 * LEAST],
+            [0.9 * MIN_SHARE, 1.1 * MIN_SHARE, 0.9 * MIN_SHARE],
             [True, True, True],
             id="some instances less for a moment",
         ),
         pytest.param(
-            [1.1 * LEAST, 0.9 * LEAST, 1.01 * REST, 1.1 * LEAST],
+            [
+                1.1 * MIN_SHARE,
+                0.9 * MIN_SHARE,
+                1.01 * STOP_SHARE,
+                1.1 * MIN_SHARE,
+            ],
             [False, True, False, False],
             id="they become many and few again",
         ),
     ],
 )
-async def test_permits_are_asked_for_where_shares_are_small(
+async def test_permits_are_requested_where_shares_are_small(
     issuers, shares, expected
 ):
     left = list(shares)
@@ -198,7 +205,7 @@
 
 
 @pytest.mark.parametrize(
-    ("near", "far", "result", "asked"),
+    ("near", "far", "result", "polled"),
     [
         pytest.param([GRANTED], [GRANTED], A, [NEAR], id="near"),
         pytest.param([FULL], [GRANTED], A, [NEAR, FAR], id="near is full"),
@@ -235,80 +242,82 @@
         ),
     ],
 )
-async def test_where_a_permit_is_asked_for(issuers, near, far, result, asked):
+async def test_where_a_permit_is_requested(issuers, near, far, result, polled):
     issuers.scripts = {NEAR: list(near), FAR: list(far)}
     client = _make(issuers, domains=("hall-2", "hall-1"))
     got = await _obtain(client)
     if isinstance(got, permit_client.Permit):
         got = got.server_id
     assert got == result
-    assert issuers.asked == asked
+    assert issuers.polled == polled
 
 
-async def test_only_who_counts_for_the_owner_is_asked(issuers):
+async def test_only_the_issuer_for_the_owner_is_asked(issuers):
     issuers.scripts = {FAR: [GRANTED], NEAR: [GRANTED]}
     client = _make(issuers, domains=("hall-1", "hall-2"))
     owner = support.make_server("a", domain="hall-2")
     await _obtain(client, server=owner)
-    assert issuers.asked == [FAR]
-    assert issuers.asks[0].server_id == A
-    assert issuers.asks[0].may_wait
+    assert issuers.polled == [FAR]
+    assert issuers.requests[0].server_id == A
+    assert issuers.requests[0].may_wait
 
 
-async def test_who_does_not_count_one_server_is_still_asked_for_others(issuers):
+async def test_an_issuer_that_does_not_know_a_server_is_asked_for_others(
+    issuers,
+):
     issuers.scripts = {NEAR: [UNCOUNTED, GRANTED], NEXT: [UNCOUNTED, GRANTED]}
     client = _make(issuers, near=(NEAR, NEXT))
     assert await _obtain(client, server=support.make_server("new")) is None
     granted = await _obtain(client, server=support.make_server("a"))
     assert isinstance(granted, permit_client.Permit)
-    assert issuers.asked[0] == issuers.asked[1]
+    assert issuers.polled[0] == issuers.polled[1]
 
 
-async def test_a_silent_one_is_left_alone_and_the_next_one_counts(issuers):
+async def test_a_silent_issuer_is_paused_and_the_next_one_is_asked(issuers):
     client = _make(issuers, near=(NEAR, NEXT))
     issuers.scripts = {NEAR: [SILENT], NEXT: [SILENT]}
     assert await _obtain(client) is None
-    (first,) = issuers.asked
+    (first,) = issuers.polled
     other = NEXT if first == NEAR else NEAR
     issuers.scripts[other] = [GRANTED]
     assert isinstance(await _obtain(client), permit_client.Permit)
-    assert issuers.asked == [first, other]
+    assert issuers.polled == [first, other]
     issuers.scripts[first] = [GRANTED]
     await anyio.sleep(0.25)
     await _obtain(client)
-    assert issuers.asked[-1] == first
+    assert issuers.polled[-1] == first
 
 
-async def test_one_that_has_ended_costs_no_time(issuers):
+async def test_an_issuer_that_has_ended_costs_no_time(issuers):
     client = _make(issuers, near=(NEAR, NEXT))
     issuers.scripts = {NEAR: [REFUSING], NEXT: [REFUSING]}
     assert await _obtain(client) is None
-    assert len(issuers.asked) == 2
+    assert len(issuers.polled) == 2
     issuers.scripts = {NEAR: [GRANTED], NEXT: [GRANTED]}
     assert await _obtain(client) is None
-    assert len(issuers.asked) == 2
+    assert len(issuers.polled) == 2
 
 
-async def test_one_that_stops_costs_no_permit(issuers):
+async def test_an_issuer_that_stops_costs_no_permit(issuers):
     client = _make(issuers, near=(NEAR, NEXT))
     issuers.scripts = {NEAR: [ELSEWHERE], NEXT: [ELSEWHERE]}
     assert await _obtain(client) is None
-    assert len(issuers.asked) == 2
+    assert len(issuers.polled) == 2
 
 
-async def test_a_permit_of_one_who_stopped_waiting_is_given_back(issuers):
+async def test_a_permit_is_returned_if_its_request_stops_waiting(issuers):
     issuers.scripts = {NEAR: [WAITING]}
     client = _make(issuers)
     owner = support.make_server("a")
     still = [True, True, False]
     got = await _obtain(client, server=owner, is_current=lambda: still.pop(0))
     assert got is None
-    (back,) = issuers.returned
-    assert back.ticket == issuers.asks[0].ticket
-    assert back.ending is permits.Ending.UNUSED
+    (returned,) = issuers.returned
+    assert returned.ticket == issuers.requests[0].ticket
+    assert returned.outcome is permits.Outcome.UNUSED
 
 
-async def test_a_caller_that_leaves_gives_its_place_up(issuers):
+async def test_a_caller_that_disconnects_gives_up_its_place(issuers):
     issuers.scripts = {NEAR: [SILENT]}
     client = _make(issuers)
     async with anyio.create_task_group() as tasks:
@@ -316,7 +325,7 @@
         with anyio.move_on_after(0.02):
             now_s = clock.SystemClock().monotonic_s()
             await client.obtain(
-                permit_client.Wanted(
+                permit_client.Applicant(
                     RAPOR,
                     1,
                     queueing.Deadlines(now_s + 1.0, now_s + 2.0),
@@ -326,21 +335,21 @@
                 )
             )
     assert [each.ticket for each in issuers.returned] == [
-        issuers.asks[0].ticket
+        issuers.requests[0].ticket
     ]
 
 
 async def test_this_instance_is_not_called_over_the_network(issuers):
     client = _make(issuers, near=(OWN,))
     assert await _obtain(client) is None
-    assert not issuers.asked
+    assert not issuers.polled
 
 
-def test_all_rank_the_same_instances_alike(issuers):
+def test_all_instances_rank_issuers_alike(issuers):
     others = dataclasses.replace(support.INSTANCE, name="entry-2")
     assert others.peer_address == OWN
     near = tuple(model.Address("127.0.0.1", port) for port in range(200, 240))
     first = _make(issuers, near=near)
     second = _make(issuers, near=tuple(reversed(near)))
-    issuer = permit_client._Issuer(RAPOR, "hall-1")
+    issuer = permit_client._IssuerScope(RAPOR, "hall-1")
     assert first._addresses(issuer) == second._addresses(issuer)
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -19,7 +19,7 @@
 A, B = ids.ServerId("a"), ids.ServerId("b")
 SLOTS = 4
 RATE_PER_S = 5.8
-# Permits for a cold server in a window: half of 5.8 and nothing on top, by the
+# Permits for a cold server per window: half of 5.8 without any slack, by the
 # bounds of these tests.
 COLD_COUNT = 2
 
@@ -36,14 +36,14 @@
         self.book.put(support.make_server("a"))
         self.book.put(support.make_server("b"))
         self.book.put(support.make_server("far", domain="hall-2"))
-        # Whether this issuer is certain to count alone.
-        self.is_certain = True
+        # Whether this issuer is certain to be the only one.
+        self.is_sole_issuer = True
         self.issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(
                 recount_interval_s=0.0,
-                hold_s=0.02,
-                hold_again_s=0.02,
-                forget_s=0.1,
+                long_poll_s=0.02,
+                repeat_long_poll_s=0.02,
+                waiter_timeout_s=0.1,
             ),
             servers.ServerSettings(),
             "hall-1",
@@ -51,7 +51,7 @@
             journal,
             metrics.Metrics(),
             real,
-            lambda _: self.is_certain,
+            lambda _: self.is_sole_issuer,
         )
 
     def cool(self, *names: str) -> None:
@@ -78,7 +78,7 @@
         may_wait=True,
         tried=(),
     ) -> permits.Reply:
-        self.last_ask = permits.Ask(
+        self.last_request = permits.Request(
             RAPOR,
             ticket,
             priority,
@@ -88,7 +88,7 @@
             tried,
             may_wait,
         )
-        return await self.issuer.ask(self.last_ask)
+        return await self.issuer.handle_request(self.last_request)
 
     async def fill(self, server="a", name="") -> None:
         """Takes all slots of a server, under tickets that begin with a name."""
@@ -97,8 +97,8 @@
             reply = await self.ask(ticket, server=server)
             assert reply.verdict is permits.Verdict.GRANTED
 
-    def give_back(self, ticket, ending=permits.Ending.ANSWERED) -> None:
-        self.issuer.take_back(permits.Return(ticket, 0.1, ending))
+    def return_permit(self, ticket, outcome=permits.Outcome.ANSWERED) -> None:
+        self.issuer.handle_return(permits.Return(ticket, 0.1, outcome))
 
 
 @pytest.fixture
@@ -110,7 +110,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_no_more_are_at_the_servers_than_they_have_slots(scene):
+async def test_no_more_permits_are_granted_than_servers_have_slots(scene):
     sent = [
         (await scene.ask(str(number), may_wait=False)).server_id
         for number in range(2 * SLOTS)
@@ -134,7 +134,7 @@
     for ticket, priority in (("low", 2), ("high", 0)):
         reply = await scene.ask(ticket, server="a", priority=priority)
         assert reply.verdict is permits.Verdict.WAITING
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.005)
     high = await scene.ask("high", server="a", priority=0)
     assert high.verdict is permits.Verdict.GRANTED
@@ -142,20 +142,22 @@
     assert low.verdict is permits.Verdict.WAITING
 
 
-async def test_a_slot_that_falls_free_is_given_at_once(scene):
+async def test_a_slot_that_becomes_free_is_granted_at_once(scene):
     await scene.fill()
     with anyio.fail_after(0.5):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(anyio.sleep, 0.0)
-            scene.give_back("a-0")
+            scene.return_permit("a-0")
             reply = await scene.ask("x", server="a")
     assert reply.verdict is permits.Verdict.GRANTED
 
 
-async def test_what_cannot_be_served_in_time_is_refused_at_once(scene):
+async def test_a_request_that_cannot_be_served_in_time_is_refused_at_once(
+    scene,
+):
     await scene.fill()
     for ticket in [f"a-{number}" for number in range(SLOTS)]:
-        scene.give_back(ticket)
+        scene.return_permit(ticket)
     await scene.fill()
     reply = await scene.ask(
         "x", server="a", target_in_s=0.01, deadline_in_s=0.02
@@ -168,19 +170,19 @@
 @pytest.mark.parametrize(
     "server", [pytest.param("far", id="of another failure domain"), "unknown"]
 )
-async def test_servers_that_it_does_not_count_need_no_permit(scene, server):
+async def test_servers_unknown_to_the_issuer_need_no_permit(scene, server):
     reply = await scene.ask("x", server=server)
     assert reply.verdict is permits.Verdict.UNCOUNTED
 
 
-async def test_others_are_asked_while_it_knows_no_server(scene):
+async def test_another_issuer_is_to_be_asked_while_no_server_is_known(scene):
     for name in ("a", "b"):
         scene.book.end(ids.ServerId(name), "test")
     reply = await scene.ask("x")
     assert reply.verdict is permits.Verdict.ELSEWHERE
 
 
-async def test_a_leaving_server_is_counted_for_its_keys_only(scene):
+async def test_a_leaving_server_gets_requests_for_its_keys_only(scene):
     scene.book.put(support.make_server("a", leaving=True))
     own = await scene.ask("x", server="a")
     assert own.verdict is permits.Verdict.GRANTED
@@ -188,7 +190,7 @@
     assert others == {B}
 
 
-async def test_others_are_asked_once_it_stops(scene):
+async def test_another_issuer_is_to_be_asked_once_it_stops(scene):
     scene.issuer.is_stopping = True
     reply = await scene.ask("x")
     assert reply.verdict is permits.Verdict.ELSEWHERE
@@ -202,7 +204,7 @@
     assert reply.verdict is permits.Verdict.UNCOUNTED
 
 
-async def test_a_permit_that_never_comes_back_is_given_again(scene):
+async def test_the_slot_of_a_permit_that_is_never_returned_is_freed(scene):
     reply = await scene.ask("lost", server="a", deadline_in_s=-0.6)
     assert reply.verdict is permits.Verdict.GRANTED
     await scene.fill("b")
@@ -211,34 +213,34 @@
     await scene.fill("a")
 
 
-async def test_a_place_that_nobody_asks_for_is_given_up(scene):
+async def test_an_abandoned_place_in_the_queue_is_dropped(scene):
     await scene.fill()
     await scene.ask("gone", server="a")
     await anyio.sleep(0.15)
     scene.issuer.sweep()
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.005)
     reply = await scene.ask("x", server="a", may_wait=False)
     assert reply.verdict is permits.Verdict.GRANTED
 
 
-async def test_a_permit_that_was_given_to_one_who_waits_no_longer_is_freed(
+async def test_the_slot_of_a_permit_whose_request_was_withdrawn_is_freed(
     scene,
 ):
     await scene.fill()
     await scene.ask("gone", server="a")
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.005)
-    scene.give_back("gone", permits.Ending.UNUSED)
+    scene.return_permit("gone", permits.Outcome.UNUSED)
     reply = await scene.ask("x", server="a", may_wait=False)
     assert reply.verdict is permits.Verdict.GRANTED
 
 
-async def test_a_permit_counts_once_however_often_it_comes_back(scene):
+async def test_a_permit_that_is_returned_repeatedly_counts_once(scene):
     await scene.fill()
     for _ in range(3):
-        scene.give_back("a-0")
-    scene.give_back("unknown")
+        scene.return_permit("a-0")
+    scene.return_permit("unknown")
     first = await scene.ask("x", server="a", may_wait=False)
     second = await scene.ask("y", server="a", may_wait=False)
     assert first.verdict is permits.Verdict.GRANTED
@@ -246,28 +248,28 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [permits.Ending.SHED, permits.Ending.INTERRUPTED]
+    "outcome", [permits.Outcome.SHED, permits.Outcome.INTERRUPTED]
 )
-async def test_an_owner_that_turns_requests_away_keeps_its_slots(scene, ending):
-    """It has no more of them than slots, so it does not lack room."""
+async def test_an_owner_that_sheds_requests_keeps_its_slots(scene, outcome):
+    """It has no more requests than slots, so it does not lack capacity."""
     for _ in range(5):
         await scene.fill()
         for number in range(SLOTS):
-            scene.give_back(f"a-{number}", ending)
+            scene.return_permit(f"a-{number}", outcome)
     await scene.fill()
 
 
-async def test_a_server_that_turns_requests_away_is_chosen_less(scene):
+async def test_a_server_that_sheds_requests_is_chosen_less(scene):
     for number in range(10):
         await scene.ask(str(number), server="a")
-        scene.give_back(str(number), permits.Ending.SHED)
+        scene.return_permit(str(number), permits.Outcome.SHED)
     for number in range(SLOTS):
         assert (await scene.ask(f"x{number}")).server_id == B
 
 
-async def test_a_server_that_nobody_reaches_is_left_alone(scene):
+async def test_an_unreachable_server_gets_no_permits_for_a_while(scene):
     await scene.ask("x", server="a")
-    scene.give_back("x", permits.Ending.REFUSED)
+    scene.return_permit("x", permits.Outcome.REFUSED)
     reply = await scene.ask("y", server="a")
     assert reply.verdict is permits.Verdict.REFUSED
     other = await scene.ask("z")
@@ -280,11 +282,11 @@
         assert reply.server_id == B
 
 
-async def test_an_ask_that_is_heard_twice_takes_one_slot(scene):
+async def test_a_repeated_request_takes_one_slot(scene):
     for _ in range(3):
         reply = await scene.ask("x", server="a")
         assert reply == permits.Reply(permits.Verdict.GRANTED, A)
-    scene.give_back("x")
+    scene.return_permit("x")
     await scene.fill()
 
 
@@ -294,7 +296,7 @@
 async def test_the_servers_may_go_while_a_request_waits(scene, server):
     for name in ("a", "b"):
         await scene.fill(name)
-    # Those of the last call count for any server as well.
+    # Permits for any server also occupy slots of the shared queue.
     for number in range(2 * SLOTS):
         await scene.ask(f"any-{number}", may_wait=False)
     waiting = await scene.ask("x", server=server)
@@ -302,8 +304,8 @@
     for name in ("a", "b"):
         scene.book.end(ids.ServerId(name), "test")
     for number in range(SLOTS):
-        scene.give_back(f"a-{number}")
-        scene.give_back(f"any-{number}")
+        scene.return_permit(f"a-{number}")
+        scene.return_permit(f"any-{number}")
     await anyio.sleep(0.03)
     reply = await scene.ask("x", server=server)
     assert reply.verdict in {
@@ -313,7 +315,7 @@
 
 
 async def test_an_owner_that_is_listed_again_starts_with_all_its_slots(scene):
-    """What waited for its earlier entry has no slot of the new one."""
+    """What waited for its earlier entry holds no slot of the new one."""
     await scene.fill()
     await scene.ask("x", server="a")
     scene.book.end(A, "test")
@@ -321,9 +323,9 @@
     scene.book._ended.clear()
     scene.book.put(support.make_server("a"))
     await scene.ask("y", server="b")
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.01)
-    scene.give_back("x", permits.Ending.UNUSED)
+    scene.return_permit("x", permits.Outcome.UNUSED)
     await scene.fill("a", "new")
     full = await scene.ask("z", server="a", may_wait=False)
     assert full.verdict is permits.Verdict.FULL
@@ -336,7 +338,7 @@
         reply = await scene.ask(str(number), may_wait=False)
         replies.append(reply)
         if reply.verdict is permits.Verdict.GRANTED:
-            scene.give_back(str(number))
+            scene.return_permit(str(number))
     granted = [r for r in replies if r.verdict is permits.Verdict.GRANTED]
     assert all(reply.covers_cold for reply in granted)
     assert [r.server_id for r in granted].count(A) == COLD_COUNT
@@ -346,13 +348,13 @@
     assert 0 < last.wait_s < 2.0
 
 
-async def test_warm_servers_take_what_cold_ones_may_not(scene):
+async def test_warm_servers_get_the_requests_that_cold_ones_may_not(scene):
     scene.cool("a")
     granted = []
     for number in range(20):
         reply = await scene.ask(str(number), may_wait=False)
         granted.append(reply.server_id)
-        scene.give_back(str(number))
+        scene.return_permit(str(number))
     assert granted.count(A) <= COLD_COUNT
     assert granted.count(B) >= 20 - COLD_COUNT
 
@@ -366,9 +368,9 @@
     assert refused.verdict is permits.Verdict.REFUSED
 
 
-async def test_one_that_is_not_certain_gives_nothing_for_cold_servers(scene):
+async def test_no_cold_server_gets_permits_without_a_sole_issuer(scene):
     scene.cool("a", "b")
-    scene.is_certain = False
+    scene.is_sole_issuer = False
     refused = await scene.ask("owner", server="a")
     assert refused.verdict is permits.Verdict.REFUSED
     full = await scene.ask("any", may_wait=False)
@@ -377,38 +379,38 @@
     assert warm.verdict is permits.Verdict.REFUSED
 
 
-async def test_who_waited_gets_no_cold_server(scene):
-    """Nobody could tell how old its permit is."""
+async def test_a_request_that_waited_gets_no_cold_server(scene):
+    """The age of its permit would be unknown."""
     for number in range(2 * SLOTS):
         await scene.ask(str(number))
     waiting = await scene.ask("waits")
     assert waiting.verdict is permits.Verdict.WAITING
     scene.cool("a", "b")
-    scene.give_back("0")
+    scene.return_permit("0")
     await anyio.sleep(0.01)
     reply = await scene.ask("waits")
     assert not reply.covers_cold
     assert reply.verdict is not permits.Verdict.GRANTED
 
 
-async def test_an_owner_that_turned_cold_meanwhile_is_not_waited_for(scene):
+async def test_an_owner_that_became_cold_meanwhile_is_not_waited_for(scene):
     await scene.fill("a")
     waiting = await scene.ask("waits", server="a")
     assert waiting.verdict is permits.Verdict.WAITING
     scene.cool("a")
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.01)
-    reply = await scene.issuer._hold(
-        scene.last_ask, scene.issuer._waiting["waits"], 0.0
+    reply = await scene.issuer._long_poll(
+        scene.last_request, scene.issuer._waiters["waits"], 0.0
     )
     assert reply.verdict is permits.Verdict.REFUSED
 
 
-async def test_a_refused_connection_of_one_counts_for_all(scene):
-    """Whoever answers there next has just started."""
+async def test_a_refused_connection_makes_the_server_cold_for_all(scene):
+    """The next server to answer there has just started."""
     scene.cool()
     await scene.ask("one", server="a")
-    scene.give_back("one", permits.Ending.REFUSED)
+    scene.return_permit("one", permits.Outcome.REFUSED)
     known = scene.book.get(A)
     assert known is not None
     assert scene.book.is_cold(known)
@@ -423,7 +425,7 @@
         scene.book.notices.record(server, attempts.Notice(backoff_s=REST_S))
 
 
-async def test_no_permit_is_given_for_one_that_wants_to_be_left_alone(scene):
+async def test_no_permit_is_granted_for_a_server_that_asked_for_rest(scene):
     _tell_rest(scene, "a")
     for number in range(SLOTS):
         reply = await scene.ask(str(number), may_wait=False)
@@ -440,20 +442,22 @@
         pytest.param(False, permits.Verdict.FULL, id="asks elsewhere too"),
     ],
 )
-async def test_nobody_waits_for_servers_that_all_rest(scene, may_wait, verdict):
+async def test_no_request_waits_if_all_servers_asked_for_rest(
+    scene, may_wait, verdict
+):
     _tell_rest(scene, "a", "b")
     reply = await scene.ask("x", may_wait=may_wait)
     assert reply.verdict is verdict
     assert REST_S - 0.5 < reply.wait_s < REST_S + 0.5
 
 
-async def test_who_waited_gets_no_permit_for_one_that_rests_by_then(scene):
+async def test_a_request_that_waited_gets_no_server_that_asked_for_rest(scene):
     await scene.fill("a")
     waiting = await scene.ask("x", server="a")
     assert waiting.verdict is permits.Verdict.WAITING
     _tell_rest(scene, "a")
-    scene.give_back("a-0")
+    scene.return_permit("a-0")
     await anyio.sleep(0.01)
-    reply = await scene.issuer.ask(scene.last_ask)
+    reply = await scene.issuer.handle_request(scene.last_request)
     assert reply.verdict is permits.Verdict.REFUSED
     assert scene.issuer.granted_count == SLOTS - 1
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -15,7 +15,7 @@
 from bridgecross_entry import log
 from bridgecross_entry import model
 from bridgecross_entry import peers
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_entry import relaying
 from bridgecross_request import poison_requests
 
@@ -90,10 +90,12 @@
             journal,
         )
 
-    def make_news(self, platform_log, real) -> poison_news.PoisonNews:
+    def make_news(
+        self, platform_log, real
+    ) -> poison_broadcast.PoisonBroadcaster:
         journal = support.make_journal(real)
-        return poison_news.PoisonNews(
-            poison_news.PoisonNewsSettings(),
+        return poison_broadcast.PoisonBroadcaster(
+            poison_broadcast.PoisonBroadcastSettings(),
             poison_requests.PoisonLedger(
                 poison_requests.PoisonSettings(), real
             ),
@@ -303,14 +305,14 @@
     address = model.Address("10.0.0.1", 1)
     await client.push_map(address, b"")
     manual.now_s += 1.5
-    assert client.lost_for_s(address) == 1.5
+    assert client.unresponsive_for_s(address) == 1.5
     manual.now_s += 60
-    assert client.lost_for_s(address) == 0
+    assert client.unresponsive_for_s(address) == 0
     await client.push_map(address, b"")
     manual.now_s += 1.5
-    assert client.lost_for_s(address) == 1.5
+    assert client.unresponsive_for_s(address) == 1.5
     await client.push_map(address, b"")
-    assert client.lost_for_s(address) == 0
+    assert client.unresponsive_for_s(address) == 0
 
 
 async def test_one_that_knows_of_nobody_else_must_see_the_list_to_lead_alone():
--- a/libs/bridgecross-entry/tests/test_warmups.py
+++ b/libs/bridgecross-entry/tests/test_warmups.py
@@ -30,59 +30,59 @@
     return warmups.WarmupLedger(SETTINGS, BOUNDS, clock)
 
 
-def test_two_that_count_at_once_stay_within_what_is_allowed():
+def test_two_issuers_at_once_stay_within_the_limit():
     issued = warmups.count_issued(SETTINGS, BOUNDS, RATE_PER_S)
     assert 0 < 2 * issued <= ALLOWED
 
 
 def test_no_window_holds_more_than_is_issued(ledger, clock):
     issued = warmups.count_issued(SETTINGS, BOUNDS, RATE_PER_S)
-    given_s = []
+    granted_s = []
     for _ in range(4_000):
         clock.now_s += 0.003
         if not ledger.wait_s(A, RATE_PER_S):
-            ledger.take(A)
-            given_s.append(clock.now_s)
-    for first_s, next_s in zip(given_s, given_s[issued:], strict=False):
+            ledger.record_grant(A)
+            granted_s.append(clock.now_s)
+    for first_s, next_s in zip(granted_s, granted_s[issued:], strict=False):
         assert next_s - first_s >= SETTINGS.window_s
-    # And no less than that.
-    assert len(given_s) >= issued * int(12.0 / SETTINGS.window_s)
+    # Nor are fewer issued than allowed.
+    assert len(granted_s) >= issued * int(12.0 / SETTINGS.window_s)
 
 
-def test_the_wait_that_is_told_is_the_one_that_it_takes(ledger, clock):
+def test_a_permit_may_be_granted_after_the_returned_wait(ledger, clock):
     while not ledger.wait_s(A, RATE_PER_S):
-        ledger.take(A)
+        ledger.record_grant(A)
         clock.now_s += 0.05
     clock.now_s += ledger.wait_s(A, RATE_PER_S) + 0.001
     assert ledger.wait_s(A, RATE_PER_S) == 0.0
 
 
-def test_what_is_told_without_measure_is_bounded():
+def test_excessive_rates_are_bounded():
     issued = warmups.count_issued(SETTINGS, BOUNDS, 1e308)
     assert issued == warmups.count_issued(SETTINGS, BOUNDS, 1e9) < 100_000
 
 
 def test_each_server_has_a_budget_of_its_own(ledger):
     while not ledger.wait_s(A, RATE_PER_S):
-        ledger.take(A)
+        ledger.record_grant(A)
     assert ledger.wait_s(B, RATE_PER_S) == 0.0
 
 
-def test_one_that_bears_nothing_gets_nothing(clock):
+def test_a_server_with_rate_zero_gets_nothing(clock):
     bounds = support.BOUNDS
     ledger = warmups.WarmupLedger(SETTINGS, bounds, clock)
     assert ledger.wait_s(A, 0.0) == math.inf
 
 
-def test_what_is_over_is_forgotten(ledger, clock):
-    ledger.take(A)
+def test_permits_outside_the_window_are_dropped(ledger, clock):
+    ledger.record_grant(A)
     clock.now_s += SETTINGS.window_s + 0.1
     ledger.sweep()
-    assert ledger._given_s == {}
+    assert ledger._granted_s == {}
 
 
 @pytest.mark.parametrize(
-    ("own", "age_s", "settled_s", "expected"),
+    ("own", "age_s", "unchanged_s", "expected"),
     [
         pytest.param(0, 0.5, 60.0, True, id="first of a list that is known"),
         pytest.param(1, 0.5, 60.0, False, id="second"),
@@ -92,27 +92,27 @@
         pytest.param(None, 0.5, 60.0, False, id="not on the list"),
     ],
 )
-def test_only_the_first_of_a_settled_list_is_certain(
-    own, age_s, settled_s, expected
+def test_only_the_first_of_an_unchanged_list_is_sole_issuer(
+    own, age_s, unchanged_s, expected
 ):
     ranked = permits.rank_issuers(RAPOR, "hall-1", INSTANCES)
     elsewhere = model.Address("10.1.0.9", 9)
-    certainty = warmups.IssuerCertainty(
+    check = warmups.SoleIssuerCheck(
         SETTINGS,
         elsewhere if own is None else ranked[own],
         lambda _: INSTANCES,
         lambda: age_s,
-        lambda: settled_s,
+        lambda: unchanged_s,
     )
-    assert certainty.is_certain(RAPOR, "hall-1") is expected
+    assert check.is_sole_issuer(RAPOR, "hall-1") is expected
 
 
-def test_nobody_is_certain_where_nobody_counts():
-    certainty = warmups.IssuerCertainty(
+def test_no_instance_is_sole_issuer_without_candidates():
+    check = warmups.SoleIssuerCheck(
         SETTINGS, INSTANCES[0], lambda _: (), lambda: 0.0, lambda: 60.0
     )
-    assert not certainty.is_certain(RAPOR, "hall-1")
+    assert not check.is_sole_issuer(RAPOR, "hall-1")
 
 
-def test_two_that_are_certain_have_known_the_list_of_one_moment():
-    assert SETTINGS.settle_s > SETTINGS.list_age_max_s
+def test_two_sole_issuers_would_have_seen_a_common_list():
+    assert SETTINGS.list_stable_s > SETTINGS.list_age_max_s
--- a/tests/load/scene.py
+++ b/tests/load/scene.py
@@ -271,10 +271,12 @@
         message = permits.MESSAGES.decode(body)
         self._scene.report.permit_messages_count += 1
         answer = b""
-        if message.back is not None:
-            issuer.take_back(message.back)
-        if message.ask is not None:
-            answer = permits.REPLIES.encode(await issuer.ask(message.ask))
+        if message.returned is not None:
+            issuer.handle_return(message.returned)
+        if message.request is not None:
+            answer = permits.REPLIES.encode(
+                await issuer.handle_request(message.request)
+            )
         await anyio.sleep(_LINK_S)
         return exchange.Reply(200, (), answer)
 
@@ -385,7 +387,7 @@
             return None
         issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(),
-            permit_issuer.SERVERS,
+            permit_issuer.SERVER_SETTINGS,
             instance.failure_domain,
             book,
             journal,
@@ -395,7 +397,7 @@
         self.issuers[instance.peer_address] = issuer
         settings = self.load.permits
         if self.load.with_permits:
-            settings = dataclasses.replace(settings, slot_share_least=math.inf)
+            settings = dataclasses.replace(settings, min_slot_share=math.inf)
         client = permit_client.PermitClient(
             settings,
             instance,
