--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_earlier_fronts.py
@@ -13,28 +13,30 @@
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import releases
 
-_RETRY_S = 0.05
+_RETRY_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class EarlierFrontsSettings:
-    """How long something of an earlier front may go on without it."""
+    """How long the effects of an earlier front may outlast it."""
 
-    # The lease that it gave last, or the deadline of a request that it sent.
+    # The length of the last lease that it gave, or the longest deadline of a
+    # request that it sent.
     residual_ms: int
-    # The difference in rate that two clocks may have.
+    # The largest difference in rate between two clocks, as a ratio.
     clock_drift_ratio: float
-    # Whether it is asked what of it goes on. A front that lives knows, and
-    # saves waiting for the longest deadline that a caller may name, 30 s by
-    # default, in which the keys of a lost server are served by nobody. Not for
-    # servers that check fences: what goes on there is their lease.
+    # Whether the earlier front is asked if it has drained. If it is alive, its
+    # answer saves waiting for the longest deadline that a caller may set, 30 s
+    # by default, during which no server serves the keys of a lost one. Servers
+    # that check fences are not asked about: they may act until their lease
+    # ends.
     asks_whether_drained: bool
 
 
 class EarlierFrontsPorts(NamedTuple):
-    """What is needed to be sure of the earlier fronts of a server.
+    """The dependencies for waiting for the earlier fronts of a server.
 
-    ``changed`` is notified when all that they did is over.
+    ``changed`` is notified when an earlier front has no more effects.
     """
 
     service: ids.ServiceName
@@ -47,7 +49,7 @@
 
 
 class EarlierFronts:
-    """Makes sure that the earlier fronts of a server have stopped."""
+    """Waits for the fronts that a server had before its newest one."""
 
     def __init__(
         self,
@@ -55,7 +57,7 @@
         settings: EarlierFrontsSettings,
         ports: EarlierFrontsPorts,
     ) -> None:
-        """Knows nothing of the earlier fronts yet, if there were any."""
+        """Assumes that every earlier front may still act."""
         self._front = front
         self._settings = settings
         self._ports = ports
@@ -66,27 +68,27 @@
 
     @property
     def over_at_s(self) -> float:
-        """When all that they granted or sent is over, monotonic.
+        """When all leases and requests of earlier fronts have ended, monotonic.
 
         Infinite as long as one of them may still act.
         """
         return max(self._over_at_s.values(), default=self._created_s)
 
     async def run(self) -> None:
-        """Waits until all is over."""
+        """Waits until no earlier front has effects any more."""
         async with anyio.create_task_group() as tasks:
             for earlier in self._front.earlier:
                 tasks.start_soon(self._wait_for, earlier)
 
     async def _wait_for(self, earlier: cells.EarlierFront) -> None:
-        """Waits until all is over that one earlier front did.
+        """Waits until the leases and requests of an earlier front have ended.
 
         An earlier front has stopped if it has read its replacement. One that
-        does not answer stops by itself once no witness confirms it any more.
+        does not answer loses its authority once no witness confirms it.
         """
         clock = self._ports.clock
         while not await self._is_stopped(earlier):
-            await anyio.sleep(_RETRY_S)
+            await anyio.sleep(_RETRY_INTERVAL_S)
         act_ms = self._ports.authority.settings.authority_ms
         act_ms += self._settings.residual_ms
         act_s = act_ms / 1_000 * (1 + self._settings.clock_drift_ratio)
@@ -97,11 +99,13 @@
                 self._over_at_s[earlier.token] = clock.monotonic_s()
                 break
             asks = self._settings.asks_whether_drained
-            await anyio.sleep(min(_RETRY_S, left_s) if asks else left_s)
+            await anyio.sleep(
+                min(_RETRY_INTERVAL_S, left_s) if asks else left_s
+            )
         self._ports.changed.notify()
 
     async def _reports_drained(self, earlier: cells.EarlierFront) -> bool:
-        """Returns whether an earlier front has nothing under way any more."""
+        """Returns whether an earlier front reports that it has drained."""
         if not self._settings.asks_whether_drained:
             return False
         query = releases.FrontDrainedQuery(
@@ -114,7 +118,10 @@
         return await source.is_front_drained(earlier.front, query)
 
     async def _is_stopped(self, earlier: cells.EarlierFront) -> bool:
-        """Returns whether an earlier front cannot renew its authority."""
+        """Returns whether an earlier front cannot renew its authority.
+
+        It cannot if it, or each of its witnesses, has read its replacement.
+        """
         offset = ids.Offset(self._front.token)
         has_read = self._ports.witnesses.has_read
         if await has_read(earlier.front, offset):
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
@@ -1,4 +1,4 @@
-"""Waits until the earlier owners of a server's slices have let go."""
+"""Waits until the earlier owners of a server's slices have released them."""
 
 import collections
 from typing import NamedTuple
@@ -12,13 +12,13 @@
 from bridgecross_ownership import leases
 from bridgecross_ownership import releases
 
-_RETRY_S = 0.05
+_RETRY_INTERVAL_S = 0.05
 
 
 class PriorOwnersPorts(NamedTuple):
-    """What is needed to ask earlier owners.
+    """The dependencies for asking earlier owners.
 
-    ``changed`` is notified whenever one of them has let go.
+    ``changed`` is notified whenever one of them has answered.
     """
 
     cell: cells.Cell
@@ -30,15 +30,15 @@
     """Asks the fronts of earlier owners, with one task for each owner."""
 
     def __init__(self, server: ids.ServerId, ports: PriorOwnersPorts) -> None:
-        """Has asked nobody yet.
+        """Starts without tasks.
 
         Args:
             server: The server whose slices are to become free.
-            ports: What is needed to ask.
+            ports: The dependencies.
         """
         self._server = server
         self._ports = ports
-        # Slices that every earlier owner has let go of, and of which token.
+        # Slices that every earlier owner has released, with the log's tokens.
         self._freed: dict[ids.SliceIndex, ids.Token] = {}
         self._released_by: collections.defaultdict[
             leases.SliceGrant, set[ids.ServerId]
@@ -46,12 +46,12 @@
         self._asking: set[ids.ServerId] = set()
 
     def is_free(self, index: ids.SliceIndex) -> bool:
-        """Returns whether no earlier owner can act on a slice."""
+        """Returns whether no earlier owner can act on a slice any more."""
         state = self._ports.cell.slices[index]
         return not state.prior or self._freed.get(index) == state.token
 
     def has_unasked(self) -> bool:
-        """Returns whether an earlier owner is not being asked yet."""
+        """Returns whether some earlier owner is not being asked yet."""
         return bool(self._list_owners() - self._asking)
 
     def start_asking(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -61,7 +61,7 @@
             tasks.start_soon(self._ask, owner)
 
     def _list_owners(self) -> set[ids.ServerId]:
-        """Returns the earlier owners that must let go of something."""
+        """Returns the earlier owners that have slices to release."""
         return {
             owner
             for index in self._ports.cell.list_slices_of(self._server)
@@ -69,7 +69,7 @@
         }
 
     def _list_blockers(self, index: ids.SliceIndex) -> set[ids.ServerId]:
-        """Returns the earlier owners that have not let go of a slice."""
+        """Returns the earlier owners that have not released a slice."""
         if self.is_free(index):
             return set()
         state = self._ports.cell.slices[index]
@@ -77,7 +77,7 @@
         return set(state.prior) - self._released_by.get(grant, set())
 
     def _list_unreleased(self, owner: ids.ServerId) -> list[leases.SliceGrant]:
-        """Returns the slices that an earlier owner must let go of."""
+        """Returns the slices that an earlier owner must still release."""
         cell = self._ports.cell
         return [
             leases.SliceGrant(index, cell.slices[index].token)
@@ -86,20 +86,20 @@
         ]
 
     async def _ask(self, owner: ids.ServerId) -> None:
-        """Asks the front of an earlier owner until all is let go of."""
+        """Asks the front of an earlier owner until all slices are released."""
         try:
             while wanted := self._list_unreleased(owner):
                 released = await self._ask_once(owner, wanted)
                 self._note_released(owner, wanted, released)
                 if not released:
-                    await anyio.sleep(_RETRY_S)
+                    await anyio.sleep(_RETRY_INTERVAL_S)
         finally:
             self._asking.discard(owner)
 
     async def _ask_once(
         self, owner: ids.ServerId, wanted: list[leases.SliceGrant]
     ) -> set[ids.SliceIndex]:
-        """Asks once; returns the slices that were let go of."""
+        """Asks once; returns the slices that were released."""
         cell = self._ports.cell
         front = cell.fronts.get(owner)
         if front is None:
@@ -114,7 +114,7 @@
         wanted: list[leases.SliceGrant],
         released: set[ids.SliceIndex],
     ) -> None:
-        """Frees the slices that their last earlier owner let go of."""
+        """Frees the slices that their last earlier owner has released."""
         for grant in wanted:
             state = self._ports.cell.slices[grant.slice]
             if grant.slice not in released or state.token != grant.token:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
@@ -1,12 +1,12 @@
-"""How long an instance may act on what it has read.
+"""How long an instance may act on what it has read from the log.
 
 An instance that is cut off from the log cannot know whether it has been
-replaced. It may therefore act only while its news is fresh: for a bounded
-time after a complete read of the log or, while the log is silent, after a
-witness confirmed that it has read nothing newer. The log names the witnesses
-of each front. Whoever wants to be sure that a front has stopped, without
-hearing from it or from its server, first makes sure that every witness of it
-has read the change; see ``docs/design/leases.md``.
+replaced. It may therefore act only for a bounded time after a complete read
+of the log or, while the log is unavailable, after a witness confirmed that it
+has read nothing newer. The log names the witnesses of each front. To be sure
+that a front has stopped, without an answer from it or its server, another
+instance first makes sure that every witness has read the change; see
+``docs/design/leases.md``.
 """
 
 from collections.abc import Iterable
@@ -19,11 +19,11 @@
 
 
 class NewsSource(Protocol):
-    """Something that knows how fresh the reading of the log is."""
+    """Provides how up to date this instance's view of the log is."""
 
     @property
     def fresh_at_s(self) -> float:
-        """The monotonic time up to which every record is known applied."""
+        """The monotonic time up to which all records have been applied."""
 
     @property
     def awaits_snapshot(self) -> bool:
@@ -32,9 +32,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class AuthoritySettings:
-    """How long news stays fresh."""
+    """How long an instance keeps its authority."""
 
-    # How long an instance may act after its last news.
+    # How long an instance may act after it last read the log, or a witness
+    # confirmed its view.
     authority_ms: int
 
 
@@ -47,21 +48,21 @@
         log_news: NewsSource,
         clock: clocks.Clock,
     ) -> None:
-        """Has no authority until the log was read once."""
+        """Starts without authority, until the log has been read once."""
         self.settings = settings
         self._log_news = log_news
         self._clock = clock
         self._confirmed_s: dict[ids.InstanceId, float] = {}
 
     def has_log(self) -> bool:
-        """Returns whether the log itself was read lately."""
+        """Returns whether the log itself was read recently enough."""
         return self._is_fresh(self._log_news.fresh_at_s)
 
     def may_front(self, witnesses: Iterable[ids.InstanceId]) -> bool:
         """Returns whether this instance may act as a front now.
 
         Args:
-            witnesses: The front's witnesses; one of them is enough.
+            witnesses: The front's witnesses; the confirmation of one is enough.
         """
         if self._log_news.awaits_snapshot:
             return False
@@ -73,12 +74,15 @@
         )
 
     def needs_witnesses(self) -> bool:
-        """Returns whether the log has been silent for half the time."""
+        """Returns whether half the time since the last log read has passed.
+
+        The witnesses should then be asked for a confirmation.
+        """
         silent_s = self._clock.monotonic_s() - self._log_news.fresh_at_s
         return silent_s > self.settings.authority_ms / 2_000
 
     def confirm(self, witness: ids.InstanceId, sent_s: float) -> None:
-        """Notes that a witness has read nothing that this instance has not.
+        """Records that a witness has read nothing that this instance has not.
 
         Args:
             witness: The instance that answered.
@@ -87,6 +91,6 @@
         self._confirmed_s[witness] = sent_s
 
     def _is_fresh(self, at_s: float) -> bool:
-        """Returns whether news of a time is fresh enough to act on."""
+        """Returns whether information of a given time is recent enough."""
         limit_s = at_s + self.settings.authority_ms / 1_000
         return self._clock.monotonic_s() < limit_s
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/fronts.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/fronts.py
@@ -1,4 +1,4 @@
-"""The managers of all servers of a service that this instance fronts."""
+"""The lease managers of all servers that this instance fronts."""
 
 from typing import NamedTuple
 
@@ -17,44 +17,44 @@
 
 
 class _FrontKey(NamedTuple):
-    """A server, and the token under which an instance is its front."""
+    """Identifies a front: a server, and the front's token."""
 
     server: ids.ServerId
     token: ids.Token
 
 
 class Fronts:
-    """Starts and stops managers as the log gives and takes servers."""
+    """Starts and stops lease managers as the log changes the fronts."""
 
     def __init__(
         self,
         settings: lease_manager.LeaseManagerSettings,
         ports: lease_manager.LeaseManagerPorts,
     ) -> None:
-        """Fronts no server yet."""
+        """Starts without servers."""
         self._settings = settings
         self._ports = ports
         self._managers: dict[ids.ServerId, lease_manager.LeaseManager] = {}
         self._scopes: dict[ids.ServerId, anyio.CancelScope] = {}
-        # The managers of the offices that this instance holds, and of those
-        # that it held and of which requests may still run.
+        # The managers of the fronts that this instance is, and of those that
+        # it was and whose requests may still run.
         self._undrained: dict[_FrontKey, lease_manager.LeaseManager] = {}
         self._changed = notifier.Notifier()
 
     @property
     def managers(self) -> dict[ids.ServerId, lease_manager.LeaseManager]:
-        """The managers of the servers that this instance fronts."""
+        """The lease managers of the servers that this instance fronts."""
         return self._managers
 
     def find(self, server: ids.ServerId) -> lease_manager.LeaseManager | None:
-        """Returns a server's manager if this instance is its front."""
+        """Returns a server's lease manager if this instance is its front."""
         manager = self._managers.get(server)
         if manager and self._ports.cell.fronts.get(server) == manager.front:
             return manager
         return None
 
     def notify(self) -> None:
-        """Tells that the cell has changed."""
+        """Wakes all waiting tasks after a change of the cell."""
         self._changed.notify()
         for manager in self._managers.values():
             manager.changed.notify()
@@ -62,7 +62,7 @@
     def replace_settings(
         self, settings: lease_manager.LeaseManagerSettings
     ) -> None:
-        """Puts new settings into force in every manager."""
+        """Replaces the settings of every lease manager."""
         self._settings = settings
         for manager in self._managers.values():
             manager.settings = settings
@@ -70,7 +70,7 @@
     async def answer_release(
         self, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Answers another front that asks what a server has let go of."""
+        """Answers another front that asks what a server has released."""
         await self._changed.wait_until(
             lambda: self.find(query.server) is not None, _UNKNOWN_FRONT_WAIT_S
         )
@@ -82,10 +82,11 @@
     async def answer_front_drained(
         self, query: releases.FrontDrainedQuery
     ) -> releases.FrontDrainedReply:
-        """Answers a later front that asks whether an office of ours is over.
+        """Answers a later front that asks whether an earlier one has drained.
 
-        An office that was replaced before this instance took it up is over as
-        soon as the replacement has been read.
+        The earlier front is this instance under a lower token. If it was
+        replaced before it started, it counts as drained as soon as the
+        replacement has been read.
         """
         cell = self._ports.cell
         await self._changed.wait_until(
@@ -99,14 +100,14 @@
         return releases.FrontDrainedReply(self._ports.me, is_drained)
 
     async def run(self) -> None:
-        """Follows the cell until it is cancelled."""
+        """Follows the changes of the cell until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 self._reconcile(tasks)
                 await self._changed.wait_until(self._is_behind, _RECONCILE_S)
 
     def _is_behind(self) -> bool:
-        """Returns whether the managers differ from what the log says."""
+        """Returns whether the managers do not match the log."""
         cell = self._ports.cell
         mine = {
             server: cell.fronts[server]
@@ -119,7 +120,9 @@
         cell = self._ports.cell
         mine = set(cell.list_servers_of(self._ports.me))
         for server, manager in list(self._managers.items()):
-            if server not in mine or _has_missed(manager, cell.fronts[server]):
+            if server not in mine or _has_missed_front(
+                manager, cell.fronts[server]
+            ):
                 self._stop(server)
             elif cell.fronts[server] != manager.front:
                 manager.replace_front(cell.fronts[server])
@@ -128,7 +131,7 @@
             self._start(server, tasks)
 
     def _start(self, server: ids.ServerId, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts the manager of a server."""
+        """Starts the lease manager of a server."""
         front = self._ports.cell.fronts[server]
         manager = lease_manager.LeaseManager(
             server, front, self._settings, self._ports
@@ -145,14 +148,14 @@
         tasks.start_soon(_run_in_scope, manager, scope)
 
     def _track_front(self, manager: lease_manager.LeaseManager) -> None:
-        """Keeps who holds an office."""
+        """Records the manager of a front until that front has drained."""
         self._forget_drained()
         self._undrained[_FrontKey(manager.server, manager.front.token)] = (
             manager
         )
 
     def _forget_drained(self) -> None:
-        """Forgets the offices that are over."""
+        """Removes the fronts that have drained."""
         self._undrained = {
             key: manager
             for key, manager in self._undrained.items()
@@ -160,18 +163,18 @@
         }
 
     def _stop(self, server: ids.ServerId) -> None:
-        """Stops the manager of a server; waiting requests are woken."""
+        """Stops the lease manager of a server and wakes waiting requests."""
         manager = self._managers.pop(server)
         self._scopes.pop(server).cancel()
         manager.changed.notify()
 
 
-def _has_missed(
+def _has_missed_front(
     manager: lease_manager.LeaseManager, front: cells.FrontState
 ) -> bool:
-    """Returns whether another instance fronted the server in between.
+    """Returns whether another instance was the server's front in between.
 
-    It may have had the server hold slices of which the manager knows nothing.
+    It may have granted slices to the server that the manager does not know of.
     """
     return any(
         earlier.front != front.front and earlier.token > manager.front.token
@@ -182,6 +185,6 @@
 async def _run_in_scope(
     manager: lease_manager.LeaseManager, scope: anyio.CancelScope
 ) -> None:
-    """Runs a manager until its scope is cancelled."""
+    """Runs a lease manager until its scope is cancelled."""
     with scope:
         await manager.run()
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
@@ -1,9 +1,9 @@
-"""Keeps the lease of one server and opens its slices to requests.
+"""Renews the lease of one server and opens its slices to requests.
 
-All requests to a server pass through one instance, its front. The front's
-manager is one task: it renews the lease, adds a slice to the grants once every
-earlier owner has let go of it, and answers other fronts that ask whether this
-server has let go of a slice.
+All requests to a server pass through one instance, its front. The front runs
+one lease manager per server. It renews the lease, grants a slice once every
+earlier owner has released it, and answers other fronts that ask whether this
+server has released a slice.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 
 class ServerHealth(enum.Enum):
-    """What a front has seen of its server."""
+    """A server's health as observed by its front."""
 
     UNKNOWN = "unknown"
     UP = "up"
@@ -41,24 +41,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseManagerSettings:
-    """What a manager needs to know of its service."""
+    """The settings of a service that a lease manager uses."""
 
-    # Whether the server refuses a wrong token or a lease that is over.
+    # Whether the server refuses a wrong token or an expired lease.
     checks_fences: bool
     # The length of the lease.
     lease_ms: int
-    # How often it is renewed.
+    # The interval between renewals.
     renew_interval_ms: int
-    # Renewals in a row that fail before the server counts as down.
+    # The number of failed renewals in a row after which a server is down.
     renew_misses: int
     # The longest deadline of a request.
     max_deadline_ms: int
-    # The difference in rate that two clocks may have.
+    # The largest difference in rate between two clocks, as a ratio.
     clock_drift_ratio: float
 
 
 class LeaseManagerPorts(NamedTuple):
-    """What a manager works with."""
+    """The dependencies of a lease manager."""
 
     me: ids.InstanceId
     cell: cells.Cell
@@ -71,7 +71,7 @@
 
 
 class LeaseManager:
-    """The front's task for one backend server."""
+    """A front's task that manages the lease of one backend server."""
 
     def __init__(
         self,
@@ -80,13 +80,13 @@
         settings: LeaseManagerSettings,
         ports: LeaseManagerPorts,
     ) -> None:
-        """Holds no lease yet.
+        """Starts without a lease.
 
         Args:
             server: The backend server.
-            front: This instance's office as the server's front.
-            settings: The service's settings, replaced as they change.
-            ports: What the manager works with.
+            front: The log's entry that makes this instance the front.
+            settings: The service's settings; replaced when they change.
+            ports: The manager's dependencies.
         """
         self.server = server
         self.front = front
@@ -96,15 +96,15 @@
         self.load: collections.Counter[ids.SliceIndex] = collections.Counter()
         self._ports = ports
         self._log = loguru.logger.bind(server=server)
-        # What the server has accepted, with the tokens that it sees.
+        # The slices that the server has accepted, with the tokens sent to it.
         self._granted: dict[ids.SliceIndex, ids.Token] = {}
-        # Slices of this server that its backup serves, and of which token.
+        # Slices of this server that its backup serves, with the log's tokens.
         self._handed_over: dict[ids.SliceIndex, ids.Token] = {}
-        # Slices of lost servers that this one serves as backup.
+        # Slices of lost servers that this one serves as their backup.
         self._takeovers: dict[ids.SliceIndex, releases.Takeover] = {}
         self._busy: collections.Counter[ids.SliceIndex] = collections.Counter()
         self._release_waiters = 0
-        # When requests that were never answered have passed their deadline.
+        # When the deadlines of unanswered requests have passed, by slice.
         self._busy_until_s: dict[ids.SliceIndex, float] = {}
         self._misses = 0
         self._sequence = 0
@@ -117,18 +117,18 @@
         )
         self._earlier = self._make_earlier_fronts(front)
         self._term = leases.LeaseTerm(settings.clock_drift_ratio)
-        # The slices that the server may hold; None while nothing is known.
+        # The slices that the server may hold; None while they are unknown.
         self._maybe_held: set[ids.SliceIndex] | None = (
             None if front.earlier else set()
         )
-        # The token of this office that the server has accepted.
+        # The front token that the server has accepted from this instance.
         self._accepted_front_token = ids.NO_TOKEN
 
     def find_grant_token(self, index: ids.SliceIndex) -> ids.Token | None:
         """Returns the token under which this server should serve a slice.
 
         Returns:
-            None if it should not: another server owns it, or a backup does.
+            The token, or None if another server or the backup should serve it.
         """
         if not self._is_front():
             return None
@@ -142,14 +142,15 @@
         return leases.make_grant_token(state.token, is_backup=False)
 
     def hand_over(self, index: ids.SliceIndex) -> releases.Takeover | None:
-        """Hands a slice of the lost server to its backup.
+        """Hands a slice of the lost server over to its backup.
 
-        That takes a lost server that certainly cannot act any more, and a
-        log that is silent, so that no assignment can be made. From then on
-        this server does not get the slice back until the log moves it.
+        This requires that the server certainly cannot act any more, and that
+        the log is unavailable, so that the slice cannot be reassigned there.
+        The server does not get the slice back until the log moves it.
 
         Returns:
-            What the backup's front needs to know, or None if it cannot be.
+            The takeover to send to the backup's front, or None if the slice
+            cannot be handed over.
         """
         state = self._ports.cell.slices[index]
         if state.server != self.server or not self._is_front():
@@ -163,7 +164,7 @@
         )
 
     def take_over(self, takeover: releases.Takeover) -> bool:
-        """Takes a slice of a lost server over; returns whether it may."""
+        """Takes over a slice of a lost server; returns whether it may."""
         self._takeovers[takeover.slice] = takeover
         self.changed.notify()
         return self._has_taken_over(takeover.slice)
@@ -178,11 +179,11 @@
         ]
 
     def is_open(self, index: ids.SliceIndex, token: ids.Token) -> bool:
-        """Returns whether a request of a slice may be sent at this moment.
+        """Returns whether a request for a slice may be sent now.
 
         Args:
             index: The slice.
-            token: What ``find_grant_token`` returned.
+            token: The token that ``find_grant_token`` returned.
         """
         if not self._may_front() or self.find_grant_token(index) != token:
             return False
@@ -196,13 +197,16 @@
         return now_s < self._term.confirmed_until_s
 
     def replace_front(self, front: cells.FrontState) -> None:
-        """Takes a newer office over, such as with other witnesses."""
+        """Continues under a newer front token, such as with new witnesses."""
         self.front = front
         self._sent_grants = None
         self.changed.notify()
 
     def is_front_accepted(self) -> bool:
-        """Returns whether the server cannot act for an earlier front."""
+        """Returns whether the server accepted this front for good.
+
+        It then cannot act for an earlier front any more.
+        """
         if self._accepted_front_token != self.front.token:
             return False
         if self.settings.checks_fences:
@@ -212,11 +216,12 @@
     async def wait_open(
         self, index: ids.SliceIndex, token: ids.Token, timeout_s: float
     ) -> bool:
-        """Waits until requests of a slice may be sent.
+        """Waits until requests for a slice may be sent.
 
         Returns:
-            Whether they may; False also once this instance is no longer the
-            server's front or the slice has another owner.
+            Whether they may. It returns False early once this instance is no
+            longer the server's front, the slice has another owner, or the
+            slice may be handed over.
         """
         await self.changed.wait_until(
             lambda: (
@@ -229,17 +234,17 @@
         return self.is_open(index, token)
 
     def begin_request(self, index: ids.SliceIndex) -> None:
-        """Notes that a request of a slice is being sent to the server."""
+        """Counts a request for a slice that is being sent to the server."""
         self._busy[index] += 1
         self.load[index] += 1
 
     def end_request(self, index: ids.SliceIndex, over_at_s: float) -> None:
-        """Notes that a request is over for the front.
+        """Records that the front is done with a request.
 
         Args:
             index: The request's slice.
-            over_at_s: The monotonic time at which the server certainly no
-                longer runs it; a time in the past if it answered.
+            over_at_s: The monotonic time after which the server certainly no
+                longer runs the request; a time in the past if it answered.
         """
         if over_at_s > self._busy_until_s.get(index, 0.0):
             self._busy_until_s[index] = over_at_s
@@ -250,9 +255,9 @@
                 self.changed.notify()
 
     def list_settled(self) -> list[leases.SliceGrant]:
-        """Returns granted slices whose earlier owners are still in the log.
+        """Returns the granted slices whose earlier owners the log still lists.
 
-        They come with the tokens that they have in the log.
+        They have the tokens of the log.
         """
         slices = self._ports.cell.slices
         return [
@@ -274,7 +279,7 @@
     async def answer_release(
         self, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Waits a short while until the server has let go of some slice."""
+        """Waits a short while until the server has released a queried slice."""
         released: list[ids.SliceIndex] = []
 
         def find() -> bool:
@@ -295,7 +300,7 @@
         return releases.ReleaseReply(released)
 
     async def run(self) -> None:
-        """Keeps the lease until it is cancelled."""
+        """Renews the lease until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._earlier.run)
             while True:
@@ -303,7 +308,7 @@
                 await self._sleep()
 
     async def _step(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Does one round: what to grant, whom to ask, one exchange."""
+        """Asks earlier owners, then makes one lease exchange."""
         if self._is_front():
             self._prior.start_asking(tasks)
         if not self._may_front():
@@ -318,7 +323,7 @@
         self.changed.notify()
 
     async def _sleep(self) -> None:
-        """Sleeps until the next renewal, or until there is more to grant."""
+        """Sleeps until the next renewal or a change of what to grant or ask."""
         interval_s = self.settings.renew_interval_ms / 1_000
         await self.changed.wait_until(
             lambda: (
@@ -331,7 +336,7 @@
     def _make_earlier_fronts(
         self, front: cells.FrontState
     ) -> _earlier_fronts.EarlierFronts:
-        """Returns what waits for the earlier fronts of an office."""
+        """Returns the object that waits for the fronts before this one."""
         settings = self.settings
         return _earlier_fronts.EarlierFronts(
             front,
@@ -354,11 +359,11 @@
         )
 
     def _is_front(self) -> bool:
-        """Returns whether this is still the newest front of the server."""
+        """Returns whether this is still the server's newest front."""
         return self._ports.cell.fronts.get(self.server) == self.front
 
     def _has_taken_over(self, index: ids.SliceIndex) -> bool:
-        """Returns whether a takeover of a slice to this server is in force."""
+        """Returns whether this server's takeover of a slice is in force."""
         takeover = self._takeovers.get(index)
         if takeover is None:
             return False
@@ -372,7 +377,7 @@
         )
 
     def _may_hand_over(self, index: ids.SliceIndex) -> bool:
-        """Returns whether the backup may act for the server now."""
+        """Returns whether the backup may serve a slice for the server now."""
         state = self._ports.cell.slices[index]
         return (
             self.health is ServerHealth.DOWN
@@ -386,7 +391,7 @@
         )
 
     def _cannot_act(self, index: ids.SliceIndex) -> bool:
-        """Returns whether the server, not renewed, can act no more."""
+        """Returns whether the server, if not renewed, cannot act any more."""
         if self._busy[index]:
             return False
         until_s = self._earlier.over_at_s
@@ -397,11 +402,14 @@
         return self._ports.clock.monotonic_s() >= until_s
 
     def _may_front(self) -> bool:
-        """Returns whether this instance's news is fresh enough to act."""
+        """Returns whether this instance has the authority to act as front."""
         return self._ports.authority.may_front(self.front.witnesses)
 
     def _list_grantable(self) -> list[leases.SliceGrant]:
-        """Returns the slices to grant: owned, and free of earlier owners."""
+        """Returns the slices to grant: owned, and released by earlier owners.
+
+        Slices taken over from a lost server are granted as well.
+        """
         cell = self._ports.cell
         if not self._is_front():
             return []
@@ -456,7 +464,7 @@
     def _record_reply(
         self, reply: leases.LeaseReply, grants: list[leases.SliceGrant]
     ) -> None:
-        """Takes an accepting reply in."""
+        """Records an accepting reply."""
         self._misses = 0
         self._maybe_held = {held.slice for held in reply.held}
         granted = {grant.slice: grant.token for grant in grants}
@@ -475,7 +483,7 @@
         self.health = health
 
     async def _record_miss(self, reason: str, sent_s: float) -> None:
-        """Counts a failed exchange; after several the server is down."""
+        """Counts a failed exchange; after several, the server is down."""
         self._misses += 1
         if self._misses >= self.settings.renew_misses:
             self._term.forget_echo()
@@ -490,7 +498,7 @@
         )
 
     def _record_lapse(self) -> None:
-        """Notes once that a server which is down holds no lease any more."""
+        """Records once that the lease of a server that is down has expired."""
         lapsed = self._ports.clock.monotonic_s() >= self._term.over_at_s
         if self.health is ServerHealth.DOWN and lapsed and self._granted:
             self._granted = {}
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
@@ -1,10 +1,10 @@
-"""The lease exchange with a backend server, and when a lease is over.
+"""Lease exchanges with a backend server, and when a lease ends.
 
-A message can be delayed without bound, so a lease cannot count from when the
-server receives it. Instead each reply carries the server's own monotonic
-clock; the next request echoes that reading, and the lease runs from the echo.
-The front received the reading before it sent the echo, so the lease is over
-at the latest one lease after that receipt, however late the echo arrives.
+A message can be delayed without bound, so a lease cannot start when the server
+receives it. Instead, each reply carries a reading of the server's monotonic
+clock. The next request echoes that reading, and the lease starts at it. The
+front received the reading before it sent the echo, so the lease ends at the
+latest one lease length after that receipt, however late the echo arrives.
 """
 
 import dataclasses
@@ -18,9 +18,9 @@
 class ClockEcho:
     """A reading of a server's monotonic clock in one run of the server."""
 
-    # Differs from run to run of the server.
+    # Identifies the run of the server.
     incarnation: str
-    # The reading; only differences within a run mean anything.
+    # The reading; only differences within one run are meaningful.
     reading_ms: float
 
 
@@ -42,39 +42,40 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseRequest:
-    """What a front sends to a server."""
+    """A lease request from a front to a server."""
 
     # The service that the server belongs to.
     service: ids.ServiceName
     # The instance that sends the request.
     front: ids.InstanceId
-    # The server refuses a lower one than it has seen.
+    # The front's token; the server refuses one lower than it has seen.
     front_token: ids.Token
-    # The server refuses one that is not higher than the front's last.
+    # The request's number; the server refuses one that is not higher than the
+    # front's last.
     sequence: int
     # The newest reading of the server's clock that the front has received;
     # None in a first exchange, which renews nothing.
     echo: ClockEcho | None
-    # How long after the echoed reading the lease ends.
+    # The length of the lease, counted from the echoed reading.
     lease_ms: int
-    # The whole list: slices that are missing are taken away.
+    # All granted slices: those that are missing are revoked.
     grants: list[SliceGrant]
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseReply:
-    """What the server answers."""
+    """The server's reply to a lease request."""
 
     # Whether the grants are in force.
     accepted: bool
-    # Why not; empty if they are.
+    # Why the request was refused; empty if it was accepted.
     reason: str
-    # The server's clock.
+    # A reading of the server's clock.
     clock: ClockEcho
     # The grants that the server may still act on: those of the request, and
-    # those taken away whose requests are still running.
+    # revoked ones whose requests are still running.
     held: list[SliceGrant]
-    # Whether the server is about to stop and wants no more slices.
+    # Whether the server is about to stop and should get no more slices.
     draining: bool
 
 
@@ -97,10 +98,10 @@
 
 
 class LeaseTerm:
-    """What a front knows about the end of one server's lease."""
+    """Tracks when one server's lease ends, as far as its front knows."""
 
     def __init__(self, drift_ratio: float) -> None:
-        """Has granted nothing yet.
+        """Starts without a lease.
 
         Args:
             drift_ratio: By how much the server's clock may run slower than
@@ -114,16 +115,20 @@
 
     @property
     def over_at_s(self) -> float:
-        """When a lease of this front is certainly over, monotonic."""
+        """The monotonic time by which this front's lease certainly ended."""
         return self._over_at_s
 
     @property
     def confirmed_until_s(self) -> float:
-        """The time until which the server has confirmed to hold a lease."""
+        """The time until which the server has confirmed that it has a lease."""
         return self._confirmed_until_s
 
     def begin_exchange(self, lease_ms: int) -> ClockEcho | None:
-        """Returns the echo to send; from now on the lease may be renewed."""
+        """Returns the echo to send.
+
+        The lease counts as renewed from now on, because the request may reach
+        the server even without a reply.
+        """
         if self._echo is not None:
             lease_s = lease_ms / 1_000 * (1 + self._drift_ratio)
             over_at_s = self._echo_received_s + lease_s
@@ -138,14 +143,14 @@
         received_s: float,
         lease_ms: int,
     ) -> None:
-        """Takes a reply in.
+        """Records a reply.
 
         Args:
-            sent_echo: What ``begin_exchange`` returned.
+            sent_echo: The echo that ``begin_exchange`` returned.
             reply: The server's accepting reply.
             sent_s: The monotonic time at which the request was sent.
             received_s: The monotonic time at which the reply was received.
-            lease_ms: The length of the lease that was asked for.
+            lease_ms: The requested length of the lease.
         """
         if sent_echo is not None and (
             sent_echo.incarnation == reply.clock.incarnation
@@ -157,5 +162,5 @@
         self._echo_received_s = received_s
 
     def forget_echo(self) -> None:
-        """Stops renewing: the next exchange only asks how the server is."""
+        """Stops renewing: the next exchange only checks the server's health."""
         self._echo = None
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/membership.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/membership.py
@@ -7,17 +7,17 @@
 
 
 class Role(enum.Enum):
-    """What a listed instance is."""
+    """The kind of a listed instance."""
 
     ENTRY = "entry"
-    """An entry instance: one of our own."""
+    """An instance of this router."""
 
     BACKEND = "backend"
     """A backend server."""
 
 
 class ListedState(enum.Enum):
-    """What the list says of an instance; it lags behind reality."""
+    """The listed state of an instance, which may be out of date."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,36 +25,36 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listing:
-    """One line of the instance list."""
+    """One entry of the instance list."""
 
     # The name of the instance or server.
     name: str
-    # What it is.
+    # Whether it is an entry instance or a backend server.
     role: Role
     # The service of a backend server; empty for an entry instance.
     service: str
-    # The failure domain that it is in.
+    # The failure domain that it belongs to.
     failure_domain: str
-    # ``host:port`` with an IP number: the peer address of an entry instance,
-    # the service address of a backend server.
+    # ``host:port`` with an IP address: the peer address of an entry instance,
+    # or the service address of a backend server.
     address: str
-    # Whether it is about to stop.
+    # Whether it is running or about to stop.
     state: ListedState
 
 
 class Membership:
-    """The newest list that was read."""
+    """The newest list of instances and servers that was read."""
 
     def __init__(self) -> None:
-        """Knows of nobody yet."""
+        """Starts with an empty list."""
         self._listings: dict[str, Listing] = {}
 
     def replace(self, listings: list[Listing]) -> None:
-        """Takes a newer list in."""
+        """Replaces the list by a newer one."""
         self._listings = {listing.name: listing for listing in listings}
 
     def find(self, name: str) -> Listing | None:
-        """Returns the line of an instance or server, if it is listed."""
+        """Returns the entry of an instance or server, if it is listed."""
         return self._listings.get(name)
 
     def list_instances(self) -> dict[ids.InstanceId, Listing]:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/releases.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/releases.py
@@ -1,4 +1,4 @@
-"""What fronts ask one another before a slice or a server changes hands."""
+"""Queries between fronts before a slice or a server changes hands."""
 
 from typing import NamedTuple
 from typing import Protocol
@@ -8,11 +8,11 @@
 
 
 class ReleaseQuery(NamedTuple):
-    """Asks whether a server has let go of slices.
+    """Asks whether a server has released slices.
 
     ``wanted`` are the slices with the tokens that they have in the log, and
-    ``head`` is the newest record that the asker has read: an answer that has
-    read less is worth nothing.
+    ``head`` is the newest record that the asking front has read. The front that
+    answers must have read the log up to that record.
     """
 
     service: ids.ServiceName
@@ -22,16 +22,16 @@
 
 
 class ReleaseReply(NamedTuple):
-    """The slices that the server has certainly let go of."""
+    """The slices that the server has certainly released."""
 
     released: list[ids.SliceIndex]
 
 
 class FrontDrainedQuery(NamedTuple):
-    """Asks whether all is over that an instance did as a server's front.
+    """Asks whether an earlier front of a server has drained.
 
-    ``front_token`` is that of the office that is meant, and ``head`` the record
-    that replaced it: an instance that has not read so far may still act.
+    ``front_token`` is the token of the earlier front, and ``head`` the record
+    that replaced it. An instance that has not read that record may still act.
     """
 
     service: ids.ServiceName
@@ -41,9 +41,10 @@
 
 
 class FrontDrainedReply(NamedTuple):
-    """Whether nothing of the office is under way or can begin any more.
+    """Whether a front has drained: no request runs, and none can start.
 
-    ``instance`` answers; another run at the same address knows nothing of it.
+    ``instance`` is the instance that answers. Another run of it at the same
+    address does not know about the earlier front.
     """
 
     instance: ids.InstanceId
@@ -51,10 +52,10 @@
 
 
 class Takeover(NamedTuple):
-    """A slice of a lost server, handed to its backup while the log is silent.
+    """A slice of a lost server, handed to its backup while the log is down.
 
-    ``token`` and ``front_token`` are those of the slice and of the lost
-    server's front: the takeover ends with either of them.
+    ``token`` is the slice's token and ``front_token`` that of the lost server's
+    front. The takeover ends when the log replaces either of them.
     """
 
     slice: ids.SliceIndex
@@ -64,25 +65,25 @@
 
 
 class ReleaseSource(Protocol):
-    """Asks the front of a server what the server has let go of."""
+    """Asks fronts about the slices and requests of their servers."""
 
     async def await_release(
         self, front: ids.InstanceId, query: ReleaseQuery
     ) -> ReleaseReply:
-        """Waits a short while for slices to be let go of.
+        """Waits a short while for slices to be released.
 
         Returns:
-            What has been let go of; nothing if the front cannot be reached.
+            The released slices; none if the front cannot be reached.
         """
 
     async def is_front_drained(
         self, front: ids.InstanceId, query: FrontDrainedQuery
     ) -> bool:
-        """Returns whether all is certainly over that an earlier front did.
+        """Returns whether an earlier front has certainly drained.
 
         Args:
             front: The instance that was the front.
-            query: The office that is meant.
+            query: The query for the earlier front.
         """
 
 
@@ -95,7 +96,6 @@
         """Returns whether an instance has certainly read a record.
 
         Args:
-            instance: The run of an instance that is meant; a later run of it
-                does not count.
-            offset: The record.
+            instance: The instance. A later run of it does not count.
+            offset: The offset of the record.
         """
