--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -86,7 +86,7 @@
             lambda _: None,
             lambda _: None,
             lambda _: None,
-            self.relayer.take,
+            self.relayer.receive,
             journal,
         )
 
@@ -106,7 +106,7 @@
 
     async def tell(self) -> None:
         async with anyio.create_task_group() as tasks:
-            await self.relayer.tell(tasks)
+            await self.relayer.broadcast(tasks)
 
 
 class Scene:
@@ -205,7 +205,7 @@
 
 
 async def test_what_is_too_long_for_a_word_goes_beside_it():
-    scene = Scene(word_max_bytes=400)
+    scene = Scene(message_max_bytes=400)
     await scene.read()
     await scene.leader.tell()
     for number in range(200):
@@ -253,7 +253,7 @@
     )
     now_s = clock.SystemClock().monotonic_s()
     stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
-    other.relayer.take(relay, peers.Echo(stamp, 0.5))
+    other.relayer.receive(relay, peers.Echo(stamp, 0.5))
     return follower.age_s
 
 
@@ -323,11 +323,11 @@
     scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.leader.reader.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].away_topics = set()
     await scene.leader.reader.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
 
 
 async def test_one_that_has_just_started_counts_for_no_majority():
@@ -337,10 +337,10 @@
     scene.voice(False)
     scene.leader.wire.cut = {scene.others[1].address}
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.voice(True)
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
 
 
 async def test_who_does_not_know_the_others_counts_no_majority():
@@ -348,8 +348,8 @@
     scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].away_topics = set()
     await scene.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
