--- a/libs/bridgecross-entry/tests/test_follower.py
+++ b/libs/bridgecross-entry/tests/test_follower.py
@@ -205,7 +205,7 @@
             waits_ms.append(wait_ms)
             return await super().read(topic, offset, 0)
 
-    known = Known(Log(), wait_ms=400.0, own_read_age_s=0.05, relay_look_s=0.01)
+    known = Known(Log(), wait_ms=400.0, own_read_age_s=0.05, relay_check_s=0.01)
     await known.follower.catch_up()
     waits_ms.clear()
     batch = follower.TopicBatch(TOPIC, 0, 0, 0, (), 0.0, is_lost=False)
