--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -218,7 +218,7 @@
     cluster_state_support.Teller(reader).tell(told)
     follower_ = told.beliefs.key_follower
     assert follower_._is_relayed()
-    follower_.last_relay_s -= follower_._settings.relay_fresh_s
+    follower_.last_relay_s -= follower_._settings.relay_valid_s
     assert not follower_._is_relayed()
 
 
