--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -187,9 +187,9 @@
 def _measure_snapshot(size: str, state: control.ControlState) -> list[rows.Row]:
     """Measures making, cutting and restoring a snapshot."""
     whole = state.to_snapshot()
-    chunks = snapshots.cut_snapshot(whole, "s")
+    chunks = snapshots.split_snapshot(whole, "s")
     made_s = rows.measure_cpu_s(
-        lambda: snapshots.cut_snapshot(state.to_snapshot(), "s")
+        lambda: snapshots.split_snapshot(state.to_snapshot(), "s")
     )
     cell = state.find_cell(SERVICE)
     kept = cell.to_snapshot()
--- a/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
@@ -156,7 +156,7 @@
             return Published(offset, paths)
         case appenders.Void():
             return _describe_clash(state, wanted, old)
-        case appenders.NotAppended() | appenders.FateUnknown():
+        case appenders.NotAppended() | appenders.OutcomeUnknown():
             return PublishUnknown(outcome.reason)
 
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
@@ -74,7 +74,7 @@
         self._taken_at_s = self._clock.monotonic_s()
         whole = self._state.to_snapshot()
         snapshot_id = log_records.new_record_id()
-        for chunk in snapshots.cut_snapshot(whole, snapshot_id):
+        for chunk in snapshots.split_snapshot(whole, snapshot_id):
             outcome = await self._appender.append(
                 snapshots.CHUNK_KIND, snapshots.encode_chunk(chunk)
             )
--- a/libs/bridgecross-daemon/tests/test_control.py
+++ b/libs/bridgecross-daemon/tests/test_control.py
@@ -48,7 +48,7 @@
     whole = state.to_snapshot()
     return [
         _store(offset + i, snapshot.CHUNK_KIND, snapshot.encode_chunk(chunk))
-        for i, chunk in enumerate(snapshot.cut_snapshot(whole, "s"))
+        for i, chunk in enumerate(snapshot.split_snapshot(whole, "s"))
     ]
 
 
--- a/libs/bridgecross-log/src/bridgecross_log/__init__.py
+++ b/libs/bridgecross-log/src/bridgecross_log/__init__.py
@@ -1,11 +1,11 @@
-"""The platform's append-only log service, as the rest of bridgecross uses it.
+"""Access to the platform's append-only log service.
 
-* ``service``: the narrow interface of a log service, and its errors.
-* ``http_service``: the interface over HTTP.
+* ``service``: the interface of a log service, and its errors.
+* ``http_service``: an implementation of the interface over HTTP.
 * ``records``: the envelope of every record.
-* ``follower``: reads a stream for ever, in order, and says how fresh it is.
-* ``appender``: appends a record and learns its fate by reading it back.
-* ``snapshot``: states cut into checksummed chunks, and put together again.
+* ``follower``: reads a stream continuously, in order, and tracks its freshness.
+* ``appender``: appends a record and confirms it by reading it back.
+* ``snapshot``: splits states into checksummed chunks and reassembles them.
 """
 
 __all__ = [
--- a/libs/bridgecross-log/src/bridgecross_log/appender.py
+++ b/libs/bridgecross-log/src/bridgecross_log/appender.py
@@ -1,8 +1,8 @@
-"""Appends a record and learns its fate by reading it back.
+"""Appends a record and confirms it by reading it back.
 
-An acknowledgement can be lost, so the only proof that a record counts is to
-see it in the stream. The reader reports every record's verdict here; a writer
-waits for its own.
+An acknowledgement can be lost, so only reading a record back from the stream
+proves that it is valid. The reader of the stream reports its verdict on every
+record to the ``Appender``; a writer waits for the verdict on its own record.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 class Applied:
     """The record is in the log and every reader applies it."""
 
-    # Where the record is.
+    # The offset of the record.
     offset: ids.Offset
 
 
@@ -27,9 +27,9 @@
 class Void:
     """The record is in the log and every reader ignores it."""
 
-    # Where the record is.
+    # The offset of the record.
     offset: ids.Offset
-    # The rule that it breaks.
+    # The rule that the record violates.
     reason: str
 
 
@@ -37,23 +37,23 @@
 class NotAppended:
     """The log refused the record; it will never appear."""
 
-    # What the log said.
+    # The reason given by the log.
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
-class FateUnknown:
-    """The record has not been seen in time; it may still appear."""
+class OutcomeUnknown:
+    """The record was not read back in time; it may still appear."""
 
-    # What is known.
+    # The error, if there was one.
     reason: str
 
 
 Verdict = Applied | Void
-"""What a reader makes of a record."""
+"""A reader's verdict on a record."""
 
-AppendOutcome = Applied | Void | NotAppended | FateUnknown
-"""What a writer learns about its record."""
+AppendOutcome = Applied | Void | NotAppended | OutcomeUnknown
+"""The outcome of an append, as its writer learns it."""
 
 
 class _Waiter:
@@ -66,14 +66,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class AppenderSettings:
-    """How records are appended."""
+    """Settings of an appender."""
 
     # The stream to append to.
     stream: str
-    # The name that records carry as their writer.
+    # The name of the writer, stored in each record.
     writer: str
-    # How long to wait until the record is seen in the stream.
-    fate_timeout_ms: int = 1_500
+    # How long to wait until the record is read back from the stream.
+    confirm_timeout_ms: int = 1_500
 
 
 class Appender:
@@ -85,17 +85,17 @@
         log: service.LogService,
         clock: hybrid_clock.HybridClock,
     ) -> None:
-        """Appends nothing yet."""
+        """Initializes the appender."""
         self._settings = settings
         self._log = log
         self._clock = clock
         self._waiters: dict[str, _Waiter] = {}
 
     def report(self, record_id: str, verdict: Verdict) -> None:
-        """Tells the writer of a record, if it waits, what became of it.
+        """Passes the verdict on a record to its writer, if that waits for it.
 
-        The first verdict on a record id stands: a second copy of the same
-        record is void for every reader and says nothing about the first.
+        Only the first verdict on a record id counts: a duplicate of a record
+        is void for every reader, which says nothing about the original.
         """
         waiter = self._waiters.get(record_id)
         if waiter is not None and waiter.verdict is None:
@@ -121,7 +121,7 @@
     async def _append_and_wait(
         self, envelope: records.Envelope, waiter: _Waiter
     ) -> AppendOutcome:
-        """Appends the envelope; a lost acknowledgement changes nothing."""
+        """Appends the envelope and waits, also without an acknowledgement."""
         reason = "not seen in the stream in time"
         try:
             await self._log.append(
@@ -129,8 +129,8 @@
             )
         except service.AppendRefusedError as error:
             return NotAppended(str(error))
-        except service.AppendFateUnknownError as error:
+        except service.AppendOutcomeUnknownError as error:
             reason = str(error)
-        with anyio.move_on_after(self._settings.fate_timeout_ms / 1_000):
+        with anyio.move_on_after(self._settings.confirm_timeout_ms / 1_000):
             await waiter.seen.wait()
-        return waiter.verdict or FateUnknown(reason)
+        return waiter.verdict or OutcomeUnknown(reason)
--- a/libs/bridgecross-log/src/bridgecross_log/follower.py
+++ b/libs/bridgecross-log/src/bridgecross_log/follower.py
@@ -1,4 +1,4 @@
-"""Reads one stream for ever, in order, and says how fresh the reading is."""
+"""Reads one stream continuously, in order, and tracks its freshness."""
 
 import dataclasses
 import math
@@ -15,32 +15,32 @@
 
 
 class RecordHandler(Protocol):
-    """Takes the records of a stream, one after another."""
+    """Processes the records of a stream in order."""
 
     def apply(self, record: service.StoredRecord) -> None:
-        """Takes the next record; it must not raise for a bad one."""
+        """Processes the next record; must not raise if it is invalid."""
 
     def restart(self, first_offset: ids.Offset) -> None:
-        """Forgets all state: the next record is the one at ``first_offset``.
+        """Discards all state; the next record is the one at ``first_offset``.
 
-        Called when retention has removed records that were not yet read.
+        Called if retention has removed records that were not yet read.
         """
 
 
 @dataclasses.dataclass(frozen=True)
 class FollowerSettings:
-    """How a stream is followed."""
+    """Settings of a follower."""
 
     # The stream's name.
     stream: str
-    # How long the log may hold back the answer when there is nothing new.
+    # How long the log may delay its answer if there are no new records.
     wait_ms: int = 400
     # The pause after a failed read.
     retry_ms: int = 100
 
 
 class Follower:
-    """Follows one stream; ``run`` is its task."""
+    """Follows one stream; ``run`` must be started as a task."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         handler: RecordHandler,
         clock: clocks.Clock,
     ) -> None:
-        """Starts at the lowest offset that the log keeps."""
+        """Initializes the follower to start at offset 0."""
         self._settings = settings
         self._log = log
         self._handler = handler
@@ -60,19 +60,19 @@
 
     @property
     def fresh_at_s(self) -> float:
-        """The monotonic time up to which every record is known applied.
+        """The monotonic time up to which all records have been applied.
 
-        It counts from the sending of the read, so that it errs on the side
-        of being too old. Minus infinity before the first complete read.
+        It is the time at which the read was sent, so it is never too recent.
+        Minus infinity before the first complete read.
         """
         return self._fresh_at_s
 
     def age_s(self) -> float:
-        """Returns how old the reading is, in seconds."""
+        """Returns the age of the applied state in seconds."""
         return self._clock.monotonic_s() - self._fresh_at_s
 
     def resume_at(self, offset: ids.Offset) -> None:
-        """Goes on at a higher offset: what lies below came from elsewhere."""
+        """Skips to a higher offset if earlier records came from elsewhere."""
         self.next_offset = max(self.next_offset, offset)
 
     async def run(self) -> None:
@@ -84,7 +84,7 @@
                 self._restart(expired.first_offset)
             except service.LogUnavailableError as error:
                 loguru.logger.bind(stream=self._settings.stream).debug(
-                    "read failed: {}", error
+                    "read failed, retrying: {}", error
                 )
                 await anyio.sleep(self._settings.retry_ms / 1_000)
 
@@ -104,9 +104,9 @@
             self.caught_up.set()
 
     def _restart(self, first_offset: ids.Offset) -> None:
-        """Starts over at the lowest offset that the log still keeps."""
+        """Starts over at the lowest offset that the log retains."""
         loguru.logger.bind(stream=self._settings.stream).info(
-            "restarting at offset {}", first_offset
+            "unread records have expired, restarting at offset {}", first_offset
         )
         self._handler.restart(first_offset)
         self.next_offset = first_offset
--- a/libs/bridgecross-log/src/bridgecross_log/http_service.py
+++ b/libs/bridgecross-log/src/bridgecross_log/http_service.py
@@ -1,7 +1,7 @@
 """The log service over HTTP.
 
-Protocol: ``POST /streams/{stream}`` appends the request's body and answers
-``{"offset": n}``; ``GET /streams/{stream}?from=n&wait_ms=m`` answers a
+Protocol: ``POST /streams/{stream}`` appends the request's body and returns
+``{"offset": n}``; ``GET /streams/{stream}?from=n&wait_ms=m`` returns a
 MessagePack ``ReadBatch``, or 410 with ``{"first_offset": n}``.
 """
 
@@ -20,26 +20,26 @@
 
 
 class AppendReply(TypedDict):
-    """The body that answers an append."""
+    """The body of the reply to an append."""
 
     offset: ids.Offset
 
 
 class ExpiredReply(TypedDict):
-    """The body that answers a read below the retention limit."""
+    """The body of the reply to a read below the retention limit."""
 
     first_offset: ids.Offset
 
 
 @dataclasses.dataclass(frozen=True)
 class HttpLogSettings:
-    """How to reach a log service over HTTP."""
+    """Settings of the HTTP client of a log service."""
 
-    # The base URL, with an IP number as host.
+    # The base URL, with an IP address as host.
     url: str
-    # How long an append may take before its fate counts as unknown.
+    # How long an append may take before its outcome counts as unknown.
     append_timeout_ms: int = 1_000
-    # How long a read may take beyond the time that it asks the log to wait.
+    # How long a read may take in addition to its ``wait_ms``.
     read_timeout_ms: int = 1_000
 
 
@@ -47,7 +47,7 @@
     """A ``service.LogService`` over HTTP."""
 
     def __init__(self, settings: HttpLogSettings) -> None:
-        """Opens no connection yet."""
+        """Initializes the client; connections are opened on first use."""
         self._settings = settings
         self._client = httpx.AsyncClient(base_url=settings.url, trust_env=False)
         self._batches = codec.Codec(service.ReadBatch)
@@ -62,15 +62,15 @@
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             raise service.AppendRefusedError(repr(error)) from error
         except httpx.HTTPError as error:
-            raise service.AppendFateUnknownError(repr(error)) from error
+            raise service.AppendOutcomeUnknownError(repr(error)) from error
         if response.status_code in _HTTP_REFUSALS:
             raise service.AppendRefusedError(response.text)
         if response.status_code != _HTTP_OK:
-            raise service.AppendFateUnknownError(response.text)
+            raise service.AppendOutcomeUnknownError(response.text)
         try:
             return codec.from_json(response.content, AppendReply)["offset"]
         except codec.CodecError as error:
-            raise service.AppendFateUnknownError(str(error)) from error
+            raise service.AppendOutcomeUnknownError(str(error)) from error
 
     async def read(
         self, stream: str, from_offset: ids.Offset, wait_ms: int
--- a/libs/bridgecross-log/src/bridgecross_log/records.py
+++ b/libs/bridgecross-log/src/bridgecross_log/records.py
@@ -1,4 +1,4 @@
-"""The envelope of every record that bridgecross keeps in the log."""
+"""The envelope of every record that bridgecross writes to the log."""
 
 import secrets
 from typing import NamedTuple
@@ -11,11 +11,11 @@
 
 
 class Envelope(NamedTuple):
-    """A record as its writer made it.
+    """A record with its metadata.
 
     ``record_id`` is unique, so that a writer whose acknowledgement was lost
-    finds the record again. ``body`` is MessagePack whose type ``kind`` names.
-    ``stamp`` places the writing on the time line and decides nothing.
+    can find its record. ``body`` is MessagePack of the type named by ``kind``.
+    ``stamp`` is the time of writing, for timelines; no decision depends on it.
     """
 
     record_id: str
@@ -26,7 +26,7 @@
 
 
 class LogRecord(NamedTuple):
-    """An envelope at its place in the log."""
+    """An envelope with its offset in the log."""
 
     offset: ids.Offset
     envelope: Envelope
@@ -36,20 +36,20 @@
 
 
 def new_record_id() -> str:
-    """Returns an id that no other record has."""
+    """Returns a new unique record id."""
     return secrets.token_urlsafe(_RECORD_ID_BYTES)
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Returns the bytes to append."""
+    """Returns the encoded envelope."""
     return _ENVELOPES.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Returns the envelope that a stored record holds.
+    """Returns the envelope of a stored record.
 
     Raises:
         codec.CodecError: The record was not written by bridgecross, or it is
-            damaged.
+            corrupted.
     """
     return _ENVELOPES.decode(data)
--- a/libs/bridgecross-log/src/bridgecross_log/snapshot.py
+++ b/libs/bridgecross-log/src/bridgecross_log/snapshot.py
@@ -1,9 +1,9 @@
-"""States cut into checksummed chunks, and put together again.
+"""Splits states into checksummed chunks and reassembles them.
 
-Retention removes old records, so the folded state is appended again as a
-snapshot before that happens. A snapshot is larger than one record may be,
-so it is cut into chunks; a reader uses it only when every chunk is there and
-the checksum of the whole is right.
+Retention removes old records, so the state folded from them is appended as a
+snapshot before that. A snapshot may exceed the maximum size of a record, so it
+is split into chunks; a reader uses it only if all chunks are present and the
+checksum of the whole is correct.
 """
 
 from typing import NamedTuple
@@ -14,17 +14,17 @@
 from bridgecross_core import ids
 
 CHUNK_KIND = "snapshot-chunk"
-"""The kind of a record that holds one chunk."""
+"""The kind of the records that contain chunks."""
 
 CHUNK_BYTES = 65_536
-"""The largest share of a snapshot that one record holds."""
+"""The maximum size of a chunk's data."""
 
 
 class SnapshotChunk(NamedTuple):
-    """One part of a snapshot.
+    """One chunk of a snapshot.
 
-    ``as_of`` is the offset of the last record that the state includes.
-    ``checksum`` is the 64-bit XXH3 of the whole state.
+    ``as_of`` is the offset of the last record included in the state.
+    ``checksum`` is the 64-bit XXH3 hash of the whole state.
     """
 
     snapshot_id: str
@@ -36,7 +36,7 @@
 
 
 class Snapshot(NamedTuple):
-    """A whole state and the offset that it reaches to."""
+    """A whole state and the offset of the last record included in it."""
 
     as_of: ids.Offset
     data: bytes
@@ -46,7 +46,7 @@
 
 
 def encode_chunk(chunk: SnapshotChunk) -> bytes:
-    """Returns the body of the chunk's record."""
+    """Returns the body of a record that contains the chunk."""
     return _CHUNKS.encode(chunk)
 
 
@@ -54,13 +54,13 @@
     """Returns the chunk in a record's body.
 
     Raises:
-        codec.CodecError: The body is damaged.
+        codec.CodecError: The body is corrupted.
     """
     return _CHUNKS.decode(body)
 
 
-def cut_snapshot(snapshot: Snapshot, snapshot_id: str) -> list[SnapshotChunk]:
-    """Cuts a snapshot into chunks of at most ``CHUNK_BYTES``."""
+def split_snapshot(snapshot: Snapshot, snapshot_id: str) -> list[SnapshotChunk]:
+    """Splits a snapshot into chunks of at most ``CHUNK_BYTES``."""
     data = snapshot.data
     checksum = xxhash.xxh3_64_intdigest(data)
     starts = range(0, max(len(data), 1), CHUNK_BYTES)
@@ -78,18 +78,18 @@
 
 
 class Assembler:
-    """Puts the chunks of one snapshot at a time together."""
+    """Reassembles snapshots from their chunks, one snapshot at a time."""
 
     def __init__(self) -> None:
-        """Has no chunk yet."""
+        """Initializes the assembler without chunks."""
         self._snapshot_id = ""
         self._parts: dict[int, bytes] = {}
 
     def add(self, chunk: SnapshotChunk) -> Snapshot | None:
-        """Adds a chunk; returns the snapshot if that makes it whole.
+        """Adds a chunk; returns the snapshot if it is now complete.
 
-        A chunk of another snapshot starts afresh, and a whole with a wrong
-        checksum is dropped: the next snapshot will do.
+        A chunk of another snapshot discards the previous chunks. A complete
+        snapshot with a wrong checksum is dropped; the next one replaces it.
         """
         if chunk.snapshot_id != self._snapshot_id:
             self._snapshot_id = chunk.snapshot_id
--- a/libs/bridgecross-log/tests/test_appender.py
+++ b/libs/bridgecross-log/tests/test_appender.py
@@ -13,7 +13,7 @@
 
 
 class _FakeLog:
-    """Appends as told; keeps what was appended."""
+    """Stores appended records if set to; may raise an error as well."""
 
     def __init__(self, error: Exception | None, *, keeps: bool) -> None:
         self.kept: list[records.Envelope] = []
@@ -36,7 +36,7 @@
 
 APPLIED = appender.Applied(ids.Offset(0))
 VOID = appender.Void(ids.Offset(0), "stale")
-LOST = service.AppendFateUnknownError("timeout")
+LOST = service.AppendOutcomeUnknownError("timeout")
 REFUSED = service.AppendRefusedError("refused")
 
 CASES = {
@@ -44,8 +44,13 @@
     "acknowledged and void": (None, True, VOID, appender.Void),
     "acknowledgement lost, applied": (LOST, True, APPLIED, appender.Applied),
     "acknowledgement lost, void": (LOST, True, VOID, appender.Void),
-    "lost, and never seen": (LOST, False, None, appender.FateUnknown),
-    "acknowledged, not seen yet": (None, True, None, appender.FateUnknown),
+    "acknowledgement lost, never seen": (
+        LOST,
+        False,
+        None,
+        appender.OutcomeUnknown,
+    ),
+    "acknowledged, not seen yet": (None, True, None, appender.OutcomeUnknown),
     "refused": (REFUSED, False, None, appender.NotAppended),
 }
 
@@ -53,9 +58,9 @@
 @pytest.mark.parametrize(
     ("error", "keeps", "verdict", "expected"), CASES.values(), ids=CASES.keys()
 )
-async def test_fate_of_a_record(error, keeps, verdict, expected):
+async def test_outcome_of_an_append(error, keeps, verdict, expected):
     log = _FakeLog(error, keeps=keeps)
-    settings = appender.AppenderSettings("s", "writer", fate_timeout_ms=30)
+    settings = appender.AppenderSettings("s", "writer", confirm_timeout_ms=30)
     writer = appender.Appender(
         settings, log, hybrid_clock.HybridClock(clock.SystemClock())
     )
--- a/libs/bridgecross-log/tests/test_follower.py
+++ b/libs/bridgecross-log/tests/test_follower.py
@@ -10,11 +10,11 @@
 
 
 class _ScriptedLog:
-    """Answers reads from a script, then waits for ever."""
+    """Answers reads from a script, then waits forever."""
 
     def __init__(self, script: list[service.ReadBatch | Exception]) -> None:
         self._script = script
-        self.asked: list[int] = []
+        self.requested_offsets: list[int] = []
 
     async def append(self, stream: str, data: bytes) -> ids.Offset:
         raise service.AppendRefusedError("not in this test")
@@ -22,7 +22,7 @@
     async def read(
         self, stream: str, from_offset: ids.Offset, wait_ms: int
     ) -> service.ReadBatch:
-        self.asked.append(from_offset)
+        self.requested_offsets.append(from_offset)
         if not self._script:
             await anyio.sleep_forever()
         answer = self._script.pop(0)
@@ -69,17 +69,17 @@
     script = [_batch(0, [0, 1], 4), _batch(0, [1, 2, 3], 4)]
     log, handler, reader = await _follow(script)
     assert handler.applied == [0, 1, 2, 3]
-    assert log.asked == [0, 2, 4]
+    assert log.requested_offsets == [0, 2, 4]
     assert reader.caught_up.is_set()
 
 
-async def test_a_partial_read_does_not_count_as_fresh():
+async def test_an_incomplete_read_does_not_count_as_fresh():
     _, handler, reader = await _follow([_batch(0, [0, 1], 9)])
     assert handler.applied == [0, 1]
     assert reader.age_s() == float("inf")
 
 
-async def test_an_outage_is_retried_and_expiry_restarts():
+async def test_failed_reads_are_retried_and_expired_offsets_restart():
     script = [
         service.LogUnavailableError("down"),
         service.OffsetExpiredError(ids.Offset(5)),
@@ -88,4 +88,4 @@
     log, handler, _ = await _follow(script)
     assert handler.restarts == [5]
     assert handler.applied == [5]
-    assert log.asked == [0, 0, 5, 6]
+    assert log.requested_offsets == [0, 0, 5, 6]
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -105,14 +105,14 @@
         await self._link.gate()
         await anyio.sleep(LATENCY_S + self._log.delay_s)
         if not self._is_up():
-            raise log_service.AppendFateUnknownError("no answer")
+            raise log_service.AppendOutcomeUnknownError("no answer")
         records = self._log.streams.setdefault(stream, [])
         if self._log.lose_acknowledgements:
             self._log.lose_acknowledgements -= 1
             await anyio.sleep(self._log.late_effect_s)
             records.append(data)
             self._log.appended.notify()
-            raise log_service.AppendFateUnknownError("acknowledgement lost")
+            raise log_service.AppendOutcomeUnknownError("acknowledgement lost")
         records.append(data)
         self._log.appended.notify()
         offset = ids.Offset(len(records) - 1)
