--- a/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/__init__.py
@@ -21,7 +21,7 @@
 * ``journal``, ``metrics``: bounded structured logs, and metrics.
 * ``listener``: HTTP listeners for callers and peers.
 * ``crash_watch``: finds requests during which servers crashed.
-* ``poison_news``: shares those findings among the instances.
+* ``poison_broadcast``: shares those findings among the instances.
 * ``cluster_tasks``: the background tasks of an instance for the cluster.
 * ``tasks``: background tasks that are restarted after errors.
 * ``follower``, ``feeds``, ``relaying``: reads topics, and relays them.
--- a/libs/bridgecross-entry/src/bridgecross_entry/feeds.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/feeds.py
@@ -4,7 +4,6 @@
 changed. So an instance that knows the topic up to some offset can be sent
 exactly what it lacks, without reading the log, however many relay messages it
 has missed.
-
 """
 
 from collections.abc import Callable
@@ -42,7 +41,6 @@
     A key that was added and removed within the range was never seen. An
     instance that knows the topic up to an offset within the range may know such
     a key.
-
     """
 
     # The topic was known up to the first of these offsets, and then up to the
--- a/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
@@ -1,8 +1,9 @@
-"""Which backend server owns which range of keys.
+"""Maps that assign ranges of keys to the backend servers that own them.
 
-One record a service, in a topic that is compacted by key. A record replaces
-the one before it; it is appended on condition that nothing was appended in
-between, so versions rise by one and each builds on the one before.
+Each service has one record in a topic that is compacted by key. A record
+replaces the one before it. It is appended on condition that nothing was
+appended in between, so versions increase by one and each map builds on the one
+before.
 """
 
 import bisect
@@ -18,23 +19,23 @@
 
 FIRST_KEY = 0
 LAST_KEY = 65_535
-"""The highest key; keys are numbers from 0."""
+"""The highest key. Keys are integers from 0."""
 
 NO_SERVER = ids.ServerId("")
-"""Stands for no server."""
+"""Denotes the absence of a server."""
 
 
 class KeyRange(NamedTuple):
-    """A range of keys and who owns it."""
+    """A range of keys and its owner."""
 
-    # Both ends are inside.
+    # Both ends are inclusive.
     first_key: int
     last_key: int
     owner: ids.ServerId
-    # The fencing token under which the owner holds it.
+    # The fencing token of the owner's lease.
     token: int
-    # Who held it before and may still do so; NO_SERVER once the owner is
-    # known to hold it.
+    # The previous owner, which may still hold the range; NO_SERVER once the
+    # owner is known to hold it.
     prior_owner: ids.ServerId = NO_SERVER
 
     @property
@@ -44,11 +45,11 @@
 
 
 class KeyMap(NamedTuple):
-    """All ranges of one service, in order and without gaps."""
+    """All ranges of a service, in order and without gaps."""
 
     service: ids.ServiceName
     version: int
-    # The instance that may change it, and where it listens.
+    # The instance that may change the map, and its peer address.
     coordinator: ids.InstanceId
     coordinator_address: model.Address
     ranges: tuple[KeyRange, ...]
@@ -58,15 +59,15 @@
 
 
 def encode(key_map: KeyMap) -> bytes:
-    """Returns a map as bytes."""
+    """Encodes a map."""
     return _CODEC.encode(key_map)
 
 
 def decode(data: bytes) -> KeyMap:
-    """Returns the map that bytes hold.
+    """Decodes a map.
 
     Raises:
-        codec.CodecError: The bytes hold no map, or one with gaps.
+        codec.CodecError: The data is not a map, or the map has gaps.
     """
     key_map = _CODEC.decode(data)
     expected = FIRST_KEY
@@ -79,13 +80,14 @@
         expected = key_range.last_key + 1
     if expected != LAST_KEY + 1:
         raise codec.CodecError(
-            f"key map of {key_map.service}: it ends at {expected - 1}"
+            f"key map of {key_map.service}: the last range "
+            f"ends at {expected - 1} instead of {LAST_KEY}"
         )
     return key_map
 
 
 def merge_neighbours(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-    """Returns ranges with neighbours that differ in nothing made one."""
+    """Merges adjacent ranges that agree in all but their keys."""
     merged: list[KeyRange] = []
     for key_range in ranges:
         if merged and merged[-1][2:] == key_range[2:]:
@@ -102,11 +104,11 @@
     owner: ids.ServerId,
     token: int,
 ) -> tuple[KeyRange, ...]:
-    """Returns ranges with some keys given to another owner.
+    """Returns ranges in which some keys have been assigned to an owner.
 
-    Keys that already belong to it are left as they are. Only one prior owner
-    is kept, so a range whose last move is still under way must not be moved
-    again before its prior owner is known to hold it no longer.
+    Keys that already belong to that owner are left unchanged. Only one previous
+    owner is recorded, so a range whose last move is still in progress must not
+    be moved again before its previous owner is known to hold it no longer.
     """
     result: list[KeyRange] = []
     for key_range in ranges:
@@ -125,17 +127,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """Who owns a key, as far as this instance knows."""
+    """The owner of a key, as far as this instance knows."""
 
     server_id: ids.ServerId
     token: int
-    # Whether the server is known to hold the key; while it is not, the move
-    # may still be under way.
+    # Whether the server is known to hold the key; if not, the move to it may
+    # still be in progress.
     settled: bool
 
 
 class _ServiceTable:
-    """The newest map of one service, ready for look-up."""
+    """The newest map of a service, indexed for lookups."""
 
     def __init__(self, key_map: KeyMap) -> None:
         """Indexes the ranges."""
@@ -148,14 +150,15 @@
 
 
 class KeyTable:
-    """The newest map of each service, from the log and from peers."""
+    """The newest map of each service, from the log or from peers."""
 
     def __init__(self, journal: journals.Journal) -> None:
-        """Knows no map yet."""
+        """Initializes the table without maps."""
         self.changed = notifier.Notifier()
         self._journal = journal
         self._tables: dict[ids.ServiceName, _ServiceTable] = {}
-        # Tokens of moves that are known to have ended, by service.
+        # The token and first key of each range whose move is known to have
+        # ended, by service.
         self._settled: dict[ids.ServiceName, set[tuple[int, int]]] = {}
 
     def newest(self, service: ids.ServiceName) -> KeyMap | None:
@@ -168,7 +171,7 @@
         return tuple(self._tables)
 
     def put(self, key_map: KeyMap, source: str) -> bool:
-        """Takes in a map unless a newer one is known; returns whether."""
+        """Stores a map unless a newer one is known; returns whether it did."""
         known = self._tables.get(key_map.service)
         if known is not None and known.key_map.version >= key_map.version:
             return False
@@ -192,12 +195,12 @@
     def mark_settled(
         self, service: ids.ServiceName, token: int, first_key: int
     ) -> None:
-        """Takes in that the owner of a range holds it."""
+        """Records that the owner of a range holds it."""
         self._settled.setdefault(service, set()).add((token, first_key))
         self.changed.notify()
 
     def find(self, service: ids.ServiceName, key: int) -> Owner | None:
-        """Returns the owner of a key; None while there is no map."""
+        """Returns the owner of a key; None if there is no map."""
         table = self._tables.get(service)
         if table is None:
             return None
--- a/libs/bridgecross-entry/src/bridgecross_entry/model.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/model.py
@@ -1,7 +1,6 @@
 """An entry instance's view of the platform.
 
 Adapters decode into these types, which do not depend on any wire format.
-
 """
 
 from collections.abc import Mapping
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -558,7 +558,7 @@
             known_s: When that was last known before; None if never.
         """
         before = self.evacuations.domains
-        ended = self.evacuations.take(words, known_s)
+        ended = self.evacuations.apply(words, known_s)
         now_s = self._clock.monotonic_s()
         for server in self._servers.values():
             if server.listed.failure_domain in ended:
