--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -126,7 +126,7 @@
         dispatcher.watch.on_ends = self.poison_broadcast.report_ends
         dispatcher.watch.on_cleared = self.poison_broadcast.report_answer
         self.poison_broadcast.on_ended_elsewhere = (
-            dispatcher.watch.note_seen_elsewhere
+            dispatcher.watch.note_ended_elsewhere
         )
         held.on_refused = self.poison_broadcast.load_record
         self._relayer = relaying.Relayer(
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -1,9 +1,10 @@
-"""Finds out which requests were at work at a server when its run ended.
+"""Finds out which requests were running at a server when its run ended.
 
-A connection that breaks proves little: a full server resets too, and so does a
-link. So the server is looked at right after: an address that refuses
-connections just after it broke one has no process any more. Nothing is sent on
-such a look, and a connection that comes about is kept for the next request.
+A broken connection proves little: an overloaded server resets connections too,
+and so does a faulty link. Therefore the server is probed right after: an
+address that refuses connections just after it broke one has no process any
+more. A probe sends nothing, and if it connects, the connection is kept for the
+next request.
 """
 
 from collections.abc import Callable
@@ -33,29 +34,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashWatchSettings:
-    """How servers are looked at, and for how long that says something."""
+    """Timing of probes, and how long evidence remains valid."""
 
-    # A process that is ending closes its connections one after the other, and
-    # may still accept new ones meanwhile; the second look finds it gone.
-    look_again_s: float = 0.05
-    # The longest that a request waits to be told whether its server has ended
-    # before it goes to another one; a look takes a round trip.
+    # A terminating process closes its connections one after the other, and may
+    # still accept new ones meanwhile; the second probe finds it gone.
+    second_probe_delay_s: float = 0.05
+    # The longest that a request waits for the result of a probe of its server
+    # before it is sent to another one; a probe takes one round trip.
     verdict_wait_s: float = 0.15
-    # What broke or was given up longer ago has no part in a refusal now.
+    # A request that broke or was given up longer ago is not attributed to a
+    # connection refused now.
     refused_evidence_s: float = 1.0
-    # A server that starts again at once refuses nobody; the list shows its
-    # next run after a heartbeat or two.
+    # A server that restarts immediately refuses no connection; the list shows
+    # its next run after one or two heartbeats.
     listed_evidence_s: float = 5.0
-    # While one more end would be enough to refuse a request, one instance may
-    # send it at first, and after each such pause twice as many. Else all that
-    # wait for a lost key would be at work where the third server ends.
-    trial_step_s: float = 0.5
-    # Requests that left without an answer and are remembered, 0.3 KB each.
-    left_max_count: int = 2_048
+    # While one more end would make a request refused, only one instance may
+    # send it at first, and twice as many after each such interval. Otherwise
+    # all requests waiting for a lost key would be running at the third server
+    # when it ends.
+    trial_interval_s: float = 0.5
+    # The number of unanswered requests that are remembered, at 0.3 KB each.
+    unanswered_max_count: int = 2_048
 
 
 class _State(enum.Enum):
-    """What has become of a request at a server."""
+    """The state of a request sent to a server."""
 
     RUNNING = "running"
     BROKEN = "broken"
@@ -63,21 +66,21 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Visit:
-    """A request at a server's run."""
+class SentRequest:
+    """A request that was sent to a run of a server."""
 
     subject: poison_requests.Fingerprint
-    # Under which id it went there, for logs.
+    # The id under which it was sent, for log lines.
     request_id: str
     server: model.BackendServer
     sent_s: float
     state: _State = _State.RUNNING
     # When it broke or was given up.
-    left_s: float = 0.0
+    unanswered_since_s: float = 0.0
 
 
 class CrashWatch:
-    """This instance's requests at servers, and which of them ended there."""
+    """Tracks this instance's requests at servers and the ends of runs."""
 
     def __init__(
         self,
@@ -89,31 +92,31 @@
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        """Watches nothing yet.
+        """Starts without any requests.
 
         Args:
-            settings: How servers are looked at.
-            ledger: Told of ends and answers.
-            client: Looks at servers.
-            book: Tells of runs that have ended.
-            journal: Told of ends.
-            metrics: Counts them.
-            clock: For all times.
+            settings: Timing of probes.
+            ledger: Receives ends and answers.
+            client: Probes servers.
+            book: Reports runs that have ended.
+            journal: Records ends.
+            metrics: Counts ends.
+            clock: Measures all times.
         """
         self.ledger = ledger
-        # Called with ends that were not known, to tell other instances.
+        # Called with newly found ends, to inform other instances.
         self.on_ends: Callable[[list[poison_requests.RunEnd]], None] = (
             lambda _: None
         )
-        # Called with a request that is refused, or would be after another
-        # end, and is answered.
+        # Called with an answered request that was refused, or would have been
+        # after another end.
         self.on_cleared: Callable[[poison_requests.Fingerprint], None] = (
             lambda _: None
         )
-        # Returns how many other instances are to try a request before this one.
+        # Returns how many other instances may try a request before this one.
         self.rank: Callable[[poison_requests.Fingerprint], int] = lambda _: 0
-        # When a request may be tried here, by it and its newest end.
-        self._opens_s: dict[
+        # When a request may be tried here, by request and its newest end.
+        self._trial_starts_s: dict[
             tuple[poison_requests.Fingerprint, float], float
         ] = {}
         self._settings = settings
@@ -122,71 +125,76 @@
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
-        # What is at servers, or left them without an answer, by their runs.
-        self._visits: dict[ids.ServerId, set[Visit]] = {}
-        # Those that left, the first of them first.
-        self._left: dict[Visit, None] = {}
+        # Requests that are running or remained unanswered, by run.
+        self._sent_requests: dict[ids.ServerId, set[SentRequest]] = {}
+        # Unanswered requests, oldest first.
+        self._unanswered: dict[SentRequest, None] = {}
         self._errors = error_answers.ErrorAnswers()
-        # Looks that are under way.
-        self._looks: dict[ids.ServerId, anyio.Event] = {}
+        # Probes in progress.
+        self._probes: dict[ids.ServerId, anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
         book.on_run_ended = self.note_ended
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins to look at servers.
+        """Enables probes.
 
         Args:
-            tasks: Where looks run.
+            tasks: Runs the probes.
         """
         self._tasks = tasks
 
-    # What may be sent.
+    # Trials of suspect requests.
 
     def may_send(self, subject: poison_requests.Fingerprint) -> bool:
-        """Whether a request that could be sent now may be, from here."""
+        """Whether this instance may send a request now."""
         if self.ledger.refused_for_s(subject):
             return False
         if self.ledger.is_nearly_refused(subject):
-            self._begin_trial(subject)
+            self._schedule_trial(subject)
         return self.trial_wait_s(subject) <= 0
 
     def trial_wait_s(self, subject: poison_requests.Fingerprint) -> float:
-        """Returns for how long others try a request first; 0 if none do."""
+        """Returns how long other instances try a request first; 0 if none."""
         if not self.ledger.is_nearly_refused(subject):
             return 0.0
-        opens_s = self._opens_s.get(self._name_trial(subject), -math.inf)
-        wait_s = opens_s - self._clock.monotonic_s()
-        if wait_s <= 0 and self._is_at_work(subject):
-            return self._settings.trial_step_s
+        trial_start_s = self._trial_starts_s.get(
+            self._trial_key(subject), -math.inf
+        )
+        wait_s = trial_start_s - self._clock.monotonic_s()
+        if wait_s <= 0 and self._is_running(subject):
+            return self._settings.trial_interval_s
         return max(wait_s, 0.0)
 
-    def _begin_trial(self, subject: poison_requests.Fingerprint) -> None:
-        """Finds out when it is this instance's turn, once for each end.
+    def _schedule_trial(self, subject: poison_requests.Fingerprint) -> None:
+        """Determines when this instance may try a request, once per end.
 
-        Counted from when a server could take it: a key that has lost its owner
-        may have none for seconds.
+        The time counts from when a server could serve the request: a key that
+        has lost its owner may have none for seconds.
         """
-        name = self._name_trial(subject)
-        if name in self._opens_s:
+        trial_key = self._trial_key(subject)
+        if trial_key in self._trial_starts_s:
             return
-        wait_s = self._settings.trial_step_s * self.rank(subject).bit_length()
-        self._opens_s[name] = self._clock.monotonic_s() + wait_s
-        if len(self._opens_s) > _TRIALS_MAX_COUNT:
-            del self._opens_s[next(iter(self._opens_s))]
+        wait_s = (
+            self._settings.trial_interval_s * self.rank(subject).bit_length()
+        )
+        self._trial_starts_s[trial_key] = self._clock.monotonic_s() + wait_s
+        if len(self._trial_starts_s) > _TRIALS_MAX_COUNT:
+            del self._trial_starts_s[next(iter(self._trial_starts_s))]
 
-    def _name_trial(
+    def _trial_key(
         self, subject: poison_requests.Fingerprint
     ) -> tuple[poison_requests.Fingerprint, float]:
-        """Returns a request and its newest end, after which it is tried."""
+        """Returns a request and the time of its newest end."""
         ends = self.ledger.ends_of(subject)
         return subject, max(end.ended_s for end in ends)
 
-    def _is_at_work(self, subject: poison_requests.Fingerprint) -> bool:
-        """Whether a server runs a request that went there from here."""
+    def _is_running(self, subject: poison_requests.Fingerprint) -> bool:
+        """Whether a request sent by this instance is running at a server."""
         return any(
-            visit.subject == subject and visit.state is _State.RUNNING
-            for visits in self._visits.values()
-            for visit in visits
+            sent_request.subject == subject
+            and sent_request.state is _State.RUNNING
+            for sent_requests in self._sent_requests.values()
+            for sent_request in sent_requests
         )
 
     # Requests at servers.
@@ -196,120 +204,128 @@
         subject: poison_requests.Fingerprint,
         request_id: str,
         server: model.BackendServer,
-    ) -> Visit:
-        """Takes it that a request is sent to a server."""
+    ) -> SentRequest:
+        """Records that a request is sent to a server."""
         now_s = self._clock.monotonic_s()
-        visit = Visit(subject, request_id, server, now_s)
-        self._visits.setdefault(server.server_id, set()).add(visit)
-        return visit
+        sent_request = SentRequest(subject, request_id, server, now_s)
+        self._sent_requests.setdefault(server.server_id, set()).add(
+            sent_request
+        )
+        return sent_request
 
     def end(
         self,
-        visit: Visit,
+        sent_request: SentRequest,
         result: attempts.Attempt | attempts.Withheld | None,
     ) -> None:
-        """Takes in how a visit ended.
+        """Records the result of a sent request.
 
         Args:
-            visit: As ``begin`` returned it.
-            result: What came of it; None if nobody waits for it any more.
+            sent_request: As returned by ``begin``.
+            result: The result; None if nobody waits for it any more.
         """
-        server_id = visit.server.server_id
+        server_id = sent_request.server.server_id
         if result is not None and not isinstance(result, attempts.Interrupted):
-            self._drop(visit)
-            self._take_result(visit, result)
+            self._forget(sent_request)
+            self._process_result(sent_request, result)
             return
-        visit.left_s = self._clock.monotonic_s()
-        self._left[visit] = None
-        if len(self._left) > self._settings.left_max_count:
-            self._drop(next(iter(self._left)))
+        sent_request.unanswered_since_s = self._clock.monotonic_s()
+        self._unanswered[sent_request] = None
+        if len(self._unanswered) > self._settings.unanswered_max_count:
+            self._forget(next(iter(self._unanswered)))
         if result is None:
-            visit.state = _State.GIVEN_UP
+            sent_request.state = _State.GIVEN_UP
             return
-        visit.state = _State.BROKEN
+        sent_request.state = _State.BROKEN
         if self._book.has_ended(server_id):
             self.note_ended(server_id)
         else:
-            self._look_soon(visit.server)
+            self._start_probe(sent_request.server)
 
-    def _take_result(
-        self, visit: Visit, result: attempts.Attempt | attempts.Withheld
+    def _process_result(
+        self,
+        sent_request: SentRequest,
+        result: attempts.Attempt | attempts.Withheld,
     ) -> None:
-        """Takes in an answer, or that nobody listens at the server."""
+        """Processes an answer or a refused connection."""
         if isinstance(result, outcomes.Answered):
-            self._take_answered(visit, result.status)
+            self._process_answered(sent_request, result.status)
         elif isinstance(result, attempts.NotSent) and result.refused:
-            self._note_refused(visit.server.server_id)
+            self._note_refused(sent_request.server.server_id)
 
-    def _take_answered(self, visit: Visit, status: int) -> None:
-        """Takes in that a server answered, which may be ending."""
-        server_id = visit.server.server_id
+    def _process_answered(self, sent_request: SentRequest, status: int) -> None:
+        """Processes an answer of a server, which may be about to end."""
+        server_id = sent_request.server.server_id
         now_s = self._clock.monotonic_s()
-        for answer in self._errors.take_confirmed(server_id, visit.sent_s):
-            self._take_answer(answer)
+        for answer in self._errors.take_confirmed(
+            server_id, sent_request.sent_s
+        ):
+            self._record_answer(answer)
         if status < _FIRST_ERROR_STATUS:
-            self._take_answer(poison_requests.Answer(visit.subject, now_s))
+            self._record_answer(
+                poison_requests.Answer(sent_request.subject, now_s)
+            )
         else:
-            self._errors.note_error(server_id, visit.subject, now_s)
+            self._errors.note_error(server_id, sent_request.subject, now_s)
 
-    def _take_answer(self, answer: poison_requests.Answer) -> None:
-        """Takes in that a server ran a request, and lived."""
-        concerns_others = self.ledger.is_nearly_refused(answer.subject)
+    def _record_answer(self, answer: poison_requests.Answer) -> None:
+        """Records that a server answered a request and kept running."""
+        is_relevant_to_others = self.ledger.is_nearly_refused(answer.subject)
         self.ledger.record_answer(answer)
-        if concerns_others:
+        if is_relevant_to_others:
             self.on_cleared(answer.subject)
 
     async def wait_for_verdict(self, server: model.BackendServer) -> None:
-        """Waits until it is known whether a server's run has ended."""
-        look = self._looks.get(server.server_id)
-        if look is not None:
+        """Waits for the probe of a server, if one is in progress."""
+        probe = self._probes.get(server.server_id)
+        if probe is not None:
             with anyio.move_on_after(self._settings.verdict_wait_s):
-                await look.wait()
+                await probe.wait()
 
     def sweep(self) -> None:
-        """Forgets what left its server so long ago that it says nothing."""
+        """Forgets unanswered requests that are too old to be evidence."""
         now_s = self._clock.monotonic_s()
         longest_s = self._settings.listed_evidence_s
-        for visit in list(self._left):
-            if now_s - visit.left_s <= longest_s:
+        for sent_request in list(self._unanswered):
+            if now_s - sent_request.unanswered_since_s <= longest_s:
                 break
-            self._drop(visit)
+            self._forget(sent_request)
         self.ledger.remove_expired()
 
-    def _drop(self, visit: Visit) -> None:
-        """Remembers a visit no longer."""
-        self._left.pop(visit, None)
-        server_id = visit.server.server_id
-        visits = self._visits.get(server_id)
-        if visits is not None:
-            visits.discard(visit)
-            if not visits:
-                del self._visits[server_id]
+    def _forget(self, sent_request: SentRequest) -> None:
+        """Removes a sent request."""
+        self._unanswered.pop(sent_request, None)
+        server_id = sent_request.server.server_id
+        sent_requests = self._sent_requests.get(server_id)
+        if sent_requests is not None:
+            sent_requests.discard(sent_request)
+            if not sent_requests:
+                del self._sent_requests[server_id]
 
     # Servers that end.
 
-    def _look_soon(self, server: model.BackendServer) -> None:
-        """Looks at a server, unless that is being done."""
-        if self._tasks is None or server.server_id in self._looks:
+    def _start_probe(self, server: model.BackendServer) -> None:
+        """Starts a probe of a server, unless one is in progress."""
+        if self._tasks is None or server.server_id in self._probes:
             return
-        self._looks[server.server_id] = anyio.Event()
-        look = functools.partial(self._look, server)
-        self._tasks.start_soon(tasks_lib.run_once, look, self._journal)
+        self._probes[server.server_id] = anyio.Event()
+        probe = functools.partial(self._probe, server)
+        self._tasks.start_soon(tasks_lib.run_once, probe, self._journal)
 
-    async def _look(self, server: model.BackendServer) -> None:
-        """Finds out whether a server's run has ended."""
-        look = self._looks[server.server_id]
+    async def _probe(self, server: model.BackendServer) -> None:
+        """Probes a server, up to twice, for whether its run has ended."""
+        probe = self._probes[server.server_id]
         try:
             if await self._is_refusing(server):
                 return
-            await anyio.sleep(self._settings.look_again_s)
+            await anyio.sleep(self._settings.second_probe_delay_s)
             await self._is_refusing(server)
         finally:
-            del self._looks[server.server_id]
-            look.set()
+            del self._probes[server.server_id]
+            probe.set()
 
     async def _is_refusing(self, server: model.BackendServer) -> bool:
-        """Whether nobody listens at a server's address any more."""
+        """Whether a server's address refuses connections."""
         if self._book.notices.wants_backoff(server.server_id):
             return False
         if not await self._client.is_refusing(server):
@@ -318,24 +334,24 @@
         return True
 
     def _note_refused(self, server_id: ids.ServerId) -> None:
-        """Takes in that an address refuses connections.
+        """Records that a server's address refuses connections.
 
-        A server that is about to end refuses too while it answers the last
-        requests; so only what it left without an answer counts.
+        A server that is shutting down also refuses connections while it answers
+        its last requests, so only unanswered requests count.
         """
         window_s = self._settings.refused_evidence_s
         self._count_ends(server_id, window_s, "it refuses connections")
 
     def note_ended(self, server_id: ids.ServerId) -> None:
-        """Takes in that a run has certainly ended."""
+        """Records that a run has certainly ended."""
         window_s = self._settings.listed_evidence_s
         self._errors.forget(server_id)
         self._count_ends(server_id, window_s, "another run is known")
 
-    def note_seen_elsewhere(self, server_id: ids.ServerId) -> None:
-        """Takes in that another instance saw a run end under a request.
+    def note_ended_elsewhere(self, server_id: ids.ServerId) -> None:
+        """Records that another instance saw a run end under a request.
 
-        Who has given up its own requests there has not looked.
+        This instance has not probed the server if it gave up its requests.
         """
         window_s = self._settings.refused_evidence_s
         self._count_ends(server_id, window_s, "another instance saw it end")
@@ -343,37 +359,44 @@
     def _count_ends(
         self, server_id: ids.ServerId, window_s: float, reason: str
     ) -> None:
-        """Counts an end for each request that got no answer."""
+        """Records an end for each recent request that got no answer."""
         now_s = self._clock.monotonic_s()
-        struck = [
-            visit
-            for visit in self._visits.get(server_id, ())
-            if visit.state is not _State.RUNNING
-            and now_s - visit.left_s <= window_s
+        affected = [
+            sent_request
+            for sent_request in self._sent_requests.get(server_id, ())
+            if sent_request.state is not _State.RUNNING
+            and now_s - sent_request.unanswered_since_s <= window_s
+        ]
+        for sent_request in affected:
+            self._forget(sent_request)
+        ends = [
+            self._record_end(sent_request, reason) for sent_request in affected
         ]
-        for visit in struck:
-            self._drop(visit)
-        ends = [self._make_end(visit, reason) for visit in struck]
         new = [end for end in ends if self.ledger.record_end(end)]
         if new:
             self.on_ends(new)
 
-    def _make_end(self, visit: Visit, reason: str) -> poison_requests.RunEnd:
-        """Returns the end of a run under a request, and writes it."""
-        self._metrics.crashes.inc({"service": visit.server.service})
+    def _record_end(
+        self, sent_request: SentRequest, reason: str
+    ) -> poison_requests.RunEnd:
+        """Logs and returns the end of a run under a request."""
+        self._metrics.crashes.inc({"service": sent_request.server.service})
         self._journal.decision(
             "ended_under_request",
-            server=visit.server.server_id,
-            service=visit.server.service,
-            request=visit.request_id,
-            subject=visit.subject.hex(),
-            left=visit.state.value,
-            at_work_ms=round((visit.left_s - visit.sent_s) * 1_000, 1),
+            server=sent_request.server.server_id,
+            service=sent_request.server.service,
+            request=sent_request.request_id,
+            subject=sent_request.subject.hex(),
+            left=sent_request.state.value,
+            at_work_ms=round(
+                (sent_request.unanswered_since_s - sent_request.sent_s) * 1_000,
+                1,
+            ),
             reason=reason,
         )
         return poison_requests.RunEnd(
-            visit.subject,
-            visit.server.server_id,
-            visit.sent_s,
-            visit.left_s,
+            sent_request.subject,
+            sent_request.server.server_id,
+            sent_request.sent_s,
+            sent_request.unanswered_since_s,
         )
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -236,16 +236,16 @@
         pause_s = server.paused_until_s - self._clock.monotonic_s()
         if pause_s > 0:
             return _refuse("left alone", pause_s)
-        rest_s = self._rest_left_s(server)
-        if rest_s > 0:
-            return _refuse("the server wants to be left alone", rest_s)
+        backoff_s = self._backoff_left_s(server)
+        if backoff_s > 0:
+            return _refuse("the server wants to be left alone", backoff_s)
         wait_s = self._cold_wait_s(request.service, server)
         return _refuse("the server is warming up", wait_s) if wait_s else None
 
-    def _rest_left_s(self, server: servers_lib.Server) -> float:
-        """Returns for how long a server has asked not to get requests.
+    def _backoff_left_s(self, server: servers_lib.Server) -> float:
+        """Returns the remaining backoff that a server has asked for.
 
-        The requesting instance may not have been asked yet, but would be.
+        The requesting instance may not have been asked for it, but would be.
         """
         return self._book.notices.backoff_left_s(server.listed.server_id)
 
@@ -327,12 +327,12 @@
             )
             wait_s = self._cold_wait_s(request.service, server)
             return _refuse("the server is warming up", wait_s)
-        rest_s = self._rest_left_s(server) if server is not None else 0.0
-        if rest_s > 0:
+        backoff_s = self._backoff_left_s(server) if server is not None else 0.0
+        if backoff_s > 0:
             queue.release(
                 queue.settings.first_guess_s, self._tier_place(request)
             )
-            return _refuse("the server wants to be left alone", rest_s)
+            return _refuse("the server wants to be left alone", backoff_s)
         if is_there:
             return self._grant(request, pool, server, may_be_cold=False)
         queue.release(queue.settings.first_guess_s, self._tier_place(request))
@@ -385,17 +385,23 @@
     def _refuse_unavailable(
         self, request: permits.Request, pool: _Pool
     ) -> permits.Reply:
-        """Refuses a request whose servers all reject requests or are cold."""
+        """Refuses a request whose servers all want backoff or are cold."""
         wait_s = min(
             max(
-                self._rest_left_s(server),
+                self._backoff_left_s(server),
                 self._cold_wait_s(request.service, server),
             )
             for server in pool.servers.values()
         )
         if request.may_wait:
-            are_resting = all(map(self._rest_left_s, pool.servers.values()))
-            what = "want to be left alone" if are_resting else "are warming up"
+            all_want_backoff = all(
+                map(self._backoff_left_s, pool.servers.values())
+            )
+            what = (
+                "want to be left alone"
+                if all_want_backoff
+                else "are warming up"
+            )
             return _refuse(f"the servers {what}", wait_s)
         return permits.Reply(permits.Verdict.FULL, wait_s=wait_s)
 
@@ -409,20 +415,20 @@
     ) -> servers_lib.Server | None:
         """Returns the server that is expected to answer soonest.
 
-        None if all servers have asked not to get requests, or are cold and
-        have got all the requests that they may get.
+        None if every server has asked for backoff, or is cold and has got all
+        the requests that it may get.
         """
-        awake = {
+        accepting = {
             server_id: server
             for server_id, server in pool.servers.items()
-            if not self._rest_left_s(server)
+            if not self._backoff_left_s(server)
         }
         eligible = [
             server
-            for server_id, server in awake.items()
+            for server_id, server in accepting.items()
             if server_id in pool.staying
         ]
-        eligible = eligible or list(awake.values())
+        eligible = eligible or list(accepting.values())
         eligible = [
             server
             for server in eligible
@@ -558,7 +564,7 @@
             for s in pool.servers.values()
             if s.paused_until_s <= now_s
             and s.listed.server_id in pool.staying
-            and not self._rest_left_s(s)
+            and not self._backoff_left_s(s)
         )
         pool.queue.settings = self._queue_settings(max(slots, 1))
 
--- a/libs/bridgecross-entry/tests/test_crash_watch.py
+++ b/libs/bridgecross-entry/tests/test_crash_watch.py
@@ -21,19 +21,19 @@
 
 
 class Backends:
-    """An ``attempts.BackendClient`` of whose servers some refuse."""
+    """An ``attempts.BackendClient`` with scripted connection refusals."""
 
     def __init__(self, *refusing: bool) -> None:
         self.refusing = list(refusing)
-        self.looks_count = 0
+        self.probes_count = 0
 
     async def is_refusing(self, server):
-        self.looks_count += 1
+        self.probes_count += 1
         return self.refusing.pop(0) if self.refusing else False
 
 
 class Scene:
-    """A watch over one server."""
+    """A crash watch with one server."""
 
     def __init__(
         self, *refusing: bool, clock: clocks.Clock | None = None
@@ -59,14 +59,14 @@
             metrics.Metrics(),
             real,
         )
-        self.told = []
-        self.watch.on_ends = self.told.extend
+        self.reported = []
+        self.watch.on_ends = self.reported.extend
 
-    def visit(self, result):
-        """Sends a request to the server, of which something comes."""
-        visit = self.watch.begin(SUBJECT, "id", self.server)
-        self.watch.end(visit, result)
-        return visit
+    def send(self, result):
+        """Sends a request to the server, with a given result."""
+        sent_request = self.watch.begin(SUBJECT, "id", self.server)
+        self.watch.end(sent_request, result)
+        return sent_request
 
     @property
     def counted(self) -> int:
@@ -76,11 +76,11 @@
 async def _play(
     scene: Scene, *results: attempts.Attempt | None, wait_s: float = 0.1
 ) -> int:
-    """Returns how many ends count after some requests."""
+    """Sends requests; returns the number of counted ends."""
     async with anyio.create_task_group() as tasks:
         scene.watch.start(tasks)
         for result in results:
-            scene.visit(result)
+            scene.send(result)
             await anyio.sleep(wait_s)
     return scene.counted
 
@@ -105,7 +105,7 @@
 ):
     scene = Scene(*refusing)
     assert await _play(scene, *results) == counted
-    assert len(scene.told) == counted
+    assert len(scene.reported) == counted
 
 
 async def test_a_server_that_refuses_while_it_works_has_not_ended():
@@ -116,7 +116,7 @@
     assert scene.counted == 0
 
 
-async def test_a_server_that_starts_again_at_once_has_ended():
+async def test_a_server_that_restarts_at_once_has_ended():
     scene = Scene(False, False)
     assert await _play(scene, BROKEN) == 0
     scene.book.end(ids.ServerId("a"), "another has its address")
@@ -130,46 +130,46 @@
     assert scene.counted == 1
 
 
-async def test_a_refusal_long_after_says_nothing():
+async def test_a_refused_connection_long_after_is_no_evidence():
     scene = Scene(False, False)
     assert await _play(scene, BROKEN, wait_s=1.1) == 0
-    scene.visit(REFUSED)
+    scene.send(REFUSED)
     assert scene.counted == 0
 
 
-async def test_many_that_break_at_once_cost_one_look():
+async def test_many_requests_that_break_at_once_cost_one_probe():
     scene = Scene(True)
     async with anyio.create_task_group() as tasks:
         scene.watch.start(tasks)
         for _ in range(20):
-            scene.visit(BROKEN)
-    assert scene.backends.looks_count == 1
+            scene.send(BROKEN)
+    assert scene.backends.probes_count == 1
     assert scene.counted == 1
 
 
-async def test_what_left_without_an_answer_is_bounded():
+async def test_unanswered_requests_are_bounded():
     scene = Scene()
-    limit_count = crash_watch.CrashWatchSettings().left_max_count
+    limit_count = crash_watch.CrashWatchSettings().unanswered_max_count
     for _ in range(limit_count + 100):
-        scene.visit(None)
-    scene.visit(REFUSED)
-    assert len(scene.told) <= limit_count
+        scene.send(None)
+    scene.send(REFUSED)
+    assert len(scene.reported) <= limit_count
 
 
-async def test_one_that_wants_to_be_left_alone_is_not_looked_at():
-    """A look makes a connection, which takes it some of its room."""
+async def test_a_server_that_asked_for_backoff_is_not_probed():
+    """A probe opens a connection, which uses some of its capacity."""
     scene = Scene(True, True)
     scene.book.notices.record(scene.server, attempts.Notice(backoff_s=3.0))
     assert await _play(scene, BROKEN) == 0
-    assert scene.backends.looks_count == 0
+    assert scene.backends.probes_count == 0
 
 
 async def _end_runs(scene: Scene, *names: str) -> None:
-    """Lets runs end under the request, one after the other."""
+    """Makes runs end under the request, one after the other."""
     for name in names:
         server = support.make_server(name)
-        visit = scene.watch.begin(SUBJECT, "id", server)
-        scene.watch.end(visit, BROKEN)
+        sent_request = scene.watch.begin(SUBJECT, "id", server)
+        scene.watch.end(sent_request, BROKEN)
         scene.watch.note_ended(server.server_id)
 
 
@@ -183,45 +183,46 @@
         pytest.param([FAILED, BROKEN], 2, id="broken after it"),
     ],
 )
-async def test_what_voids_ends(results, counted):
+async def test_which_results_void_ends(results, counted):
     scene = Scene()
     await _end_runs(scene, "b", "c")
     assert await _play(scene, *results, wait_s=0.01) == counted
 
 
-# Refused was a target of which all answers were errors, after three crashes.
+# A target whose answers were all errors was refused after three crashes.
 async def test_an_error_counts_once_its_server_answers_anything_later():
     scene = Scene()
     await _end_runs(scene, "b", "c")
-    scene.visit(FAILED)
+    scene.send(FAILED)
     other = poison_requests.Fingerprint(b"o" * 16)
-    visit = scene.watch.begin(other, "other", scene.server)
-    scene.watch.end(visit, ANSWERED)
+    sent_request = scene.watch.begin(other, "other", scene.server)
+    scene.watch.end(sent_request, ANSWERED)
     assert scene.counted == 0
 
 
 async def test_an_error_of_a_run_that_ended_voids_nothing():
     scene = Scene()
     await _end_runs(scene, "b", "c")
-    scene.visit(FAILED)
+    scene.send(FAILED)
     scene.watch.note_ended(scene.server.server_id)
-    scene.visit(BROKEN)
+    scene.send(BROKEN)
     other = poison_requests.Fingerprint(b"o" * 16)
-    visit = scene.watch.begin(other, "other", scene.server)
-    scene.watch.end(visit, ANSWERED)
+    sent_request = scene.watch.begin(other, "other", scene.server)
+    scene.watch.end(sent_request, ANSWERED)
     assert scene.counted == 2
 
 
-# An instance that did not know of others' answers refused a hot target.
-async def test_others_are_told_of_an_answer_before_a_third_end():
-    for names, told in ((("b",), 0), (("b", "c"), 1)):
+# An instance that did not know of answers at other instances refused a hot
+# target.
+async def test_an_answer_before_a_third_end_is_reported_to_others():
+    for names, reported in ((("b",), 0), (("b", "c"), 1)):
         scene = Scene()
         cleared: list[poison_requests.Fingerprint] = []
         scene.watch.on_cleared = cleared.append
         await _end_runs(scene, *names)
-        scene.visit(ANSWERED)
-        scene.visit(ANSWERED)
-        assert len(cleared) == told
+        scene.send(ANSWERED)
+        scene.send(ANSWERED)
+        assert len(cleared) == reported
 
 
 @pytest.mark.parametrize(
@@ -232,41 +233,50 @@
         pytest.param([], 0, id="never there"),
     ],
 )
-async def test_an_end_that_others_saw_counts_for_who_has_left(results, counted):
+async def test_an_end_seen_by_others_counts_for_unanswered_requests(
+    results, counted
+):
     scene = Scene()
     for result in results:
-        scene.visit(result)
-    scene.watch.note_seen_elsewhere(scene.server.server_id)
+        scene.send(result)
+    scene.watch.note_ended_elsewhere(scene.server.server_id)
     assert scene.counted == counted
-    scene.watch.note_seen_elsewhere(scene.server.server_id)
+    scene.watch.note_ended_elsewhere(scene.server.server_id)
     assert scene.counted == counted
 
 
-# All that waited for a lost key were at work where the third server ended.
-async def test_what_two_servers_ended_under_is_tried_in_turn():
-    for rank, opens_s in ((0, 0.0), (1, 0.5), (2, 1.0), (3, 1.0), (4, 1.5)):
+# All requests waiting for a lost key were running at the third server when it
+# ended.
+async def test_a_request_with_two_ends_is_tried_by_instances_in_turn():
+    for rank, trial_start_s in (
+        (0, 0.0),
+        (1, 0.5),
+        (2, 1.0),
+        (3, 1.0),
+        (4, 1.5),
+    ):
         scene = Scene(clock=support.ManualClock())
         scene.watch.rank = lambda _, rank=rank: rank
         await _end_runs(scene, "b")
         assert scene.watch.may_send(SUBJECT)
         await _end_runs(scene, "c")
         assert scene.watch.trial_wait_s(SUBJECT) == 0
-        assert scene.watch.may_send(SUBJECT) == (opens_s == 0)
-        assert scene.watch.trial_wait_s(SUBJECT) == opens_s
-        scene.clock.now_s += opens_s
+        assert scene.watch.may_send(SUBJECT) == (trial_start_s == 0)
+        assert scene.watch.trial_wait_s(SUBJECT) == trial_start_s
+        scene.clock.now_s += trial_start_s
         assert scene.watch.may_send(SUBJECT)
         await _end_runs(scene, "d")
         assert not scene.watch.may_send(SUBJECT)
 
 
-async def test_one_trial_at_a_time_leaves_an_instance():
+async def test_an_instance_sends_one_trial_at_a_time():
     scene = Scene()
     await _end_runs(scene, "b", "c")
     assert scene.watch.may_send(SUBJECT)
-    visit = scene.watch.begin(SUBJECT, "id", scene.server)
+    sent_request = scene.watch.begin(SUBJECT, "id", scene.server)
     assert not scene.watch.may_send(SUBJECT)
     assert scene.watch.trial_wait_s(SUBJECT) > 0
-    scene.watch.end(visit, ANSWERED)
+    scene.watch.end(sent_request, ANSWERED)
     assert scene.watch.may_send(SUBJECT)
     assert scene.watch.trial_wait_s(SUBJECT) == 0
 
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -416,23 +416,23 @@
     assert scene.book.is_cold(known)
 
 
-REST_S = 3.0
+BACKOFF_S = 3.0
 
 
-def _tell_rest(scene, *names: str) -> None:
+def _request_backoff(scene, *names: str) -> None:
     for name in names:
         server = support.make_server(name)
-        scene.book.notices.record(server, attempts.Notice(backoff_s=REST_S))
+        scene.book.notices.record(server, attempts.Notice(backoff_s=BACKOFF_S))
 
 
-async def test_no_permit_is_granted_for_a_server_that_asked_for_rest(scene):
-    _tell_rest(scene, "a")
+async def test_no_permit_is_granted_for_a_server_that_asked_for_backoff(scene):
+    _request_backoff(scene, "a")
     for number in range(SLOTS):
         reply = await scene.ask(str(number), may_wait=False)
         assert reply.server_id == B
     owner = await scene.ask("x", server="a")
     assert owner.verdict is permits.Verdict.REFUSED
-    assert REST_S - 0.5 < owner.retry_after_ms / 1_000 < REST_S + 0.5
+    assert BACKOFF_S - 0.5 < owner.retry_after_ms / 1_000 < BACKOFF_S + 0.5
 
 
 @pytest.mark.parametrize(
@@ -442,20 +442,22 @@
         pytest.param(False, permits.Verdict.FULL, id="asks elsewhere too"),
     ],
 )
-async def test_no_request_waits_if_all_servers_asked_for_rest(
+async def test_no_request_waits_if_all_servers_asked_for_backoff(
     scene, may_wait, verdict
 ):
-    _tell_rest(scene, "a", "b")
+    _request_backoff(scene, "a", "b")
     reply = await scene.ask("x", may_wait=may_wait)
     assert reply.verdict is verdict
-    assert REST_S - 0.5 < reply.wait_s < REST_S + 0.5
+    assert BACKOFF_S - 0.5 < reply.wait_s < BACKOFF_S + 0.5
 
 
-async def test_a_request_that_waited_gets_no_server_that_asked_for_rest(scene):
+async def test_a_request_that_waited_gets_no_server_that_asked_for_backoff(
+    scene,
+):
     await scene.fill("a")
     waiting = await scene.ask("x", server="a")
     assert waiting.verdict is permits.Verdict.WAITING
-    _tell_rest(scene, "a")
+    _request_backoff(scene, "a")
     scene.return_permit("a-0")
     await anyio.sleep(0.01)
     reply = await scene.issuer.handle_request(scene.last_request)
