--- a/libs/bridgecross-ownership/src/bridgecross_ownership/cell.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/cell.py
@@ -1,4 +1,4 @@
-"""The fold of a service's records, the same for every reader."""
+"""A service's state, built from its records alike by every reader."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class SliceState(NamedTuple):
-    """The owner of a slice.
+    """The owner of a slice, and its earlier owners.
 
     ``token`` is the fencing token of the owner's grant. ``prior`` are the
     servers that may still hold the slice under a lower token.
@@ -28,7 +28,7 @@
 
 
 class EarlierFront(NamedTuple):
-    """A front that was replaced but may not know it yet."""
+    """A front that was replaced but may not have read that yet."""
 
     front: ids.InstanceId
     token: ids.Token
@@ -36,10 +36,11 @@
 
 
 class FrontState(NamedTuple):
-    """The instance that fronts a server, and its fencing token.
+    """The front of a server, and its fencing token.
 
-    ``earlier`` are the fronts before it that the server may still obey: all
-    since the last one that the server is known to have accepted.
+    ``backup`` is the server that may serve the slices if the server is lost
+    while the log is down. ``earlier`` are the previous fronts that the server
+    may still obey: all since the last one that it is known to have accepted.
     """
 
     front: ids.InstanceId
@@ -50,7 +51,7 @@
 
 
 class CellSnapshot(NamedTuple):
-    """A whole cell, as a snapshot keeps it."""
+    """The whole state of a cell, as stored in a snapshot."""
 
     service: ids.ServiceName
     term: ids.Term
@@ -64,10 +65,10 @@
 
 
 class Cell:
-    """The state of one service at a prefix of the log."""
+    """The state of one service after a prefix of the log."""
 
     def __init__(self, service: ids.ServiceName) -> None:
-        """Starts as a service that nobody has claimed."""
+        """Starts as a service that no instance has claimed."""
         self.service = service
         self.term = ids.Term(ids.NO_OFFSET)
         self.coordinator = NO_INSTANCE
@@ -77,7 +78,7 @@
         self._owned: dict[ids.ServerId, set[ids.SliceIndex]] = {}
 
     def restore(self, snapshot: CellSnapshot) -> None:
-        """Takes a snapshot over, in place; never an older state."""
+        """Replaces the state by a snapshot, unless the snapshot is older."""
         if snapshot.head <= self.head:
             return
         self.term = snapshot.term
@@ -90,7 +91,7 @@
             self._index_owner(ids.SliceIndex(index), state.server)
 
     def to_snapshot(self) -> CellSnapshot:
-        """Returns the whole state, to be kept in a snapshot."""
+        """Returns the whole state for a snapshot."""
         return CellSnapshot(
             service=self.service,
             term=self.term,
@@ -104,8 +105,8 @@
         """Applies a claim or an assignment of this service.
 
         Returns:
-            What the record is to every reader. It never raises: a record
-            that cannot be decoded is void.
+            The verdict, which is the same for every reader. A record that
+            cannot be decoded is void; nothing is raised.
         """
         kind = record.envelope.kind
         try:
@@ -145,7 +146,7 @@
     def _apply_claim(
         self, offset: ids.Offset, claim: records.Claim
     ) -> appender.Verdict:
-        """Begins a new term if the claim ends the newest one."""
+        """Starts a new term if the claim supersedes the newest one."""
         if claim.supersedes != self.term:
             reason = f"supersedes term {claim.supersedes}, not {self.term}"
             return appender.Void(offset, reason)
@@ -161,7 +162,7 @@
     def _apply_assignment(
         self, offset: ids.Offset, assignment: records.Assignment
     ) -> appender.Verdict:
-        """Applies a change that builds on the newest record."""
+        """Applies an assignment if it builds on the newest record."""
         reason = self._find_violation(assignment)
         if reason:
             return appender.Void(offset, reason)
@@ -192,7 +193,7 @@
         if any(
             server not in self.fronts for server in assignment.accepted_fronts
         ):
-            return "seats the front of a server that has none"
+            return "accepts the front of a server that has none"
         holders = self.list_holders() if assignment.retired else set()
         if holders.intersection(assignment.retired):
             return "retires a server that may hold a slice"
@@ -201,7 +202,10 @@
     def _move_slice(
         self, index: ids.SliceIndex, server: ids.ServerId, token: ids.Token
     ) -> None:
-        """Gives a slice to a server; earlier owners must let go first."""
+        """Makes a server the owner of a slice.
+
+        The earlier owners and their backups must release it first.
+        """
         old = self.slices[index]
         front = self.fronts.get(old.server)
         backup = front.backup if front else NO_SERVER
@@ -211,14 +215,14 @@
         self._index_owner(index, server)
 
     def _index_owner(self, index: ids.SliceIndex, server: ids.ServerId) -> None:
-        """Notes a slice under its owner."""
+        """Adds a slice to the index by owner."""
         if server != NO_SERVER:
             self._owned.setdefault(server, set()).add(index)
 
     def _change_front(
         self, change: records.ServerFront, token: ids.Token
     ) -> None:
-        """Gives a server to a front; the one before may not know it yet."""
+        """Changes the front of a server and records the replaced one."""
         old = self.fronts.get(change.server)
         earlier: tuple[EarlierFront, ...] = ()
         if old is not None:
@@ -233,11 +237,11 @@
     def _reassign_after_backup(
         self, server: ids.ServerId, backup: ids.ServerId, token: ids.Token
     ) -> None:
-        """Makes a server follow its backup, which may have acted for it.
+        """Makes a server the next owner after its backup.
 
-        The replaced front may have handed slices to the backup. So the server
-        owns them anew, under a higher token than the backup's, and its new
-        front has to ask the backup first.
+        The replaced front may have handed slices over to the backup. The
+        server therefore gets its slices again, under a higher token than the
+        backup's, and its new front has to ask the backup to release them.
         """
         for index in self.list_slices_of(server):
             prior = {*self.slices[index].prior, backup}
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
@@ -1,9 +1,9 @@
-"""Claims a service and appends what the planner wants.
+"""Claims a service and appends the planner's changes.
 
-Every instance runs this task for every service, but only the one whose claim
-is the newest valid one in the log acts. The others watch it, and the best
-ranked of them claims the service when it falls silent. Two that claim at once
-do no harm: the log orders their claims, and the second is void.
+Every instance runs this task for every service, but only the one with the
+newest valid claim in the log coordinates. The others monitor it, and the best
+ranked of them claims the service when it falls silent. Two claims at the same
+time do no harm: the log orders them, and the second is void.
 """
 
 import dataclasses
@@ -39,17 +39,17 @@
 class CoordinatorSettings:
     """How a service is coordinated."""
 
-    # Slices of the service; counts in the first claim only.
+    # The number of slices of the service; used in the first claim only.
     slice_count: int
-    # How often instances report, and how often the coordinator plans.
+    # The interval at which instances report and the coordinator plans.
     heartbeat_interval_ms: int
-    # Reports in a row that fail before an instance counts as lost.
+    # The number of missed reports in a row after which an instance is lost.
     heartbeat_misses: int
-    # The most loaded server's load over the mean that is accepted.
+    # The highest accepted load of a server over the mean.
     imbalance_target_ratio: float
-    # Slices that may move each minute for balance alone.
+    # The most slices that may move per minute for balance alone.
     churn_budget_slices_per_min: int
-    # Servers that may be evicted on one instance's word, as a share.
+    # The share of servers that may be evicted on one instance's report.
     eviction_limit_ratio: float
 
     @property
@@ -59,17 +59,17 @@
 
 
 class PeerWatch(Protocol):
-    """What this instance knows of how its peers are."""
+    """This instance's view of the state of its peers."""
 
     def silent_s(self, instance: ids.InstanceId) -> float:
-        """Returns for how long an instance has not answered, in seconds."""
+        """Returns the seconds since an instance last answered."""
 
     def is_leaving(self, instance: ids.InstanceId) -> bool:
         """Returns whether an instance has said that it is stopping."""
 
 
 class CoordinatorPorts(NamedTuple):
-    """What a coordinator works with."""
+    """The dependencies of a coordinator."""
 
     me: ids.InstanceId
     cell: cells.Cell
@@ -83,7 +83,7 @@
 
 
 class _Eviction(NamedTuple):
-    """A server that was taken out on the word of one instance."""
+    """A server that was evicted on the report of one instance."""
 
     server: ids.ServerId
     reporter: ids.InstanceId
@@ -91,16 +91,16 @@
 
 
 class Coordinator:
-    """The task that coordinates one service, or stands by to do so."""
+    """A task that coordinates one service, or is a standby for it."""
 
     def __init__(
         self, settings: CoordinatorSettings, ports: CoordinatorPorts
     ) -> None:
-        """Stands by.
+        """Starts as a standby.
 
         Args:
-            settings: The service's settings, replaced as they change.
-            ports: What the coordinator works with.
+            settings: The service's settings; replaced when they change.
+            ports: The coordinator's dependencies.
         """
         self.settings = settings
         self._ports = ports
@@ -112,7 +112,7 @@
         self._first_plan_at_s: float | None = None
         self._unclaimed_since_s = ports.clock.monotonic_s()
         self._log_since_s = math.inf
-        # The newest term that was seen in the log, and since when.
+        # The newest term in the log, and when it was first seen.
         self._seen_term = ids.Term(ids.NO_OFFSET)
         self._seen_since_s = ports.clock.monotonic_s()
         self._grace_term = ids.Term(ids.NO_OFFSET)
@@ -120,22 +120,22 @@
         self._lost_coordinator = cells.NO_INSTANCE
 
     async def run(self) -> None:
-        """Coordinates or stands by until it is cancelled."""
+        """Coordinates the service or stands by until cancelled."""
         while True:
-            self._note_term()
+            self._record_term()
             if self._has_log():
                 await self._step()
             await anyio.sleep(self.settings.heartbeat_interval_ms / 1_000)
 
-    def _note_term(self) -> None:
-        """Notes since when the newest term is known."""
+    def _record_term(self) -> None:
+        """Records when the newest term was first seen."""
         term = self._ports.cell.term
         if term != self._seen_term:
             self._seen_term = term
             self._seen_since_s = self._ports.clock.monotonic_s()
 
     def _has_log(self) -> bool:
-        """Returns whether the log is read; notes since when it is."""
+        """Returns whether the log can be read; records since when."""
         if not self._ports.authority.has_log():
             self._log_since_s = math.inf
             return False
@@ -151,7 +151,10 @@
             await self._claim()
 
     def _should_claim(self) -> bool:
-        """Returns whether this instance is next and its time has come."""
+        """Returns whether this instance should claim the service now.
+
+        Each rank waits one silence period longer than the rank before it.
+        """
         ports = self._ports
         current = ports.cell.coordinator
         if ports.peers.is_leaving(ports.me):
@@ -168,8 +171,8 @@
             if rank:
                 return False
         else:
-            # In an outage of the log no coordinator answers as such, so only
-            # silence since its end counts; nor does one before its claim.
+            # During an outage of the log no instance answers as coordinator,
+            # nor does one before its claim. Only silence since then counts.
             now_s = ports.clock.monotonic_s()
             silent_s = min(
                 ports.peers.silent_s(current),
@@ -180,7 +183,10 @@
         return silent_s >= allowed_s + rank * self.settings.silence_s
 
     def _rank_candidates(self) -> list[str]:
-        """Ranks the listed instances, without those that are stopping."""
+        """Ranks the live instances other than the coordinator.
+
+        Instances that are stopping are left out.
+        """
         ports = self._ports
         listed = [
             instance
@@ -192,7 +198,7 @@
         return hashing.rank_by_rendezvous(ports.cell.service, listed)
 
     async def _claim(self) -> None:
-        """Appends a claim that ends the newest term."""
+        """Appends a claim that supersedes the newest term."""
         ports = self._ports
         lost = ports.cell.coordinator
         claim = records.Claim(
@@ -204,13 +210,16 @@
         outcome = await ports.appender.append(
             records.CLAIM_KIND, records.CLAIMS.encode(claim)
         )
-        self._log.info("claim: {}", outcome)
+        self._log.info("result of the claim: {}", outcome)
         if isinstance(outcome, appenders.Applied):
             self._lost_coordinator = lost
             await self._coordinate()
 
     def _in_grace(self) -> bool:
-        """Returns whether a new term still waits for first reports."""
+        """Returns whether the newest term is in its grace period.
+
+        In that time, instances have not all reported to the new coordinator.
+        """
         now_s = self._ports.clock.monotonic_s()
         if self._grace_term != self._ports.cell.term:
             self._grace_term = self._ports.cell.term
@@ -218,7 +227,7 @@
         return now_s < self._grace_until_s
 
     async def _coordinate(self) -> None:
-        """Plans once and appends the changes."""
+        """Makes a plan and appends its changes to the log."""
         ports = self._ports
         view = self._build_view()
         if self._awaits_first_reports(view):
@@ -237,15 +246,15 @@
             records.ASSIGNMENT_KIND, records.ASSIGNMENTS.encode(assignment)
         )
         if isinstance(outcome, appenders.Applied):
-            self._note_applied(plan, outcome)
+            self._record_applied(plan, outcome)
         else:
-            self._log.warning("assignment: {}", outcome)
+            self._log.warning("the assignment was not applied: {}", outcome)
 
     def _awaits_first_reports(self, view: planner.PlannerView) -> bool:
         """Returns whether the first assignment should wait for more servers.
 
-        Were the slices given to the first server that answers, balance would
-        need many moves later.
+        If all slices were given to the first server that answers, many moves
+        would be needed later for balance.
         """
         if self._ports.cell.list_holders():
             return False
@@ -262,7 +271,7 @@
         settled: list[ids.SliceIndex],
         accepted_fronts: list[ids.ServerId],
     ) -> records.Assignment:
-        """Returns the record for a plan, built on the newest one."""
+        """Returns the record for a plan, built on the newest record."""
         cell = self._ports.cell
         by_server: dict[ids.ServerId, list[ids.SliceIndex]] = {}
         for index, server in plan.moves.items():
@@ -282,10 +291,10 @@
             reason=f"restore {plan.restored}, balance {plan.balanced}",
         )
 
-    def _note_applied(
+    def _record_applied(
         self, plan: planner.Plan, outcome: appenders.Applied
     ) -> None:
-        """Counts the churn and writes the time line."""
+        """Counts the moves for balance and records moves on the timeline."""
         now_s = self._ports.clock.monotonic_s()
         self._applied_at_s = now_s
         self._moved_at_s += [now_s] * plan.balanced
@@ -300,7 +309,7 @@
             )
 
     def _planner_settings(self) -> planner.PlannerSettings:
-        """Returns the target and what is left of the churn budget."""
+        """Returns the balance target and the rest of the churn budget."""
         since_s = self._ports.clock.monotonic_s() - _MINUTE_S
         self._moved_at_s = [at for at in self._moved_at_s if at >= since_s]
         left = self.settings.churn_budget_slices_per_min - len(self._moved_at_s)
@@ -310,7 +319,7 @@
         )
 
     def _list_settled(self) -> list[ids.SliceIndex]:
-        """Returns the slices whose earlier owners may be forgotten."""
+        """Returns the slices whose earlier owners the log may forget."""
         slices = self._ports.cell.slices
         return sorted(
             index
@@ -330,7 +339,7 @@
         }
 
     def _list_accepted_fronts(self) -> list[ids.ServerId]:
-        """Returns the servers whose earlier fronts may be forgotten."""
+        """Returns the servers whose earlier fronts the log may forget."""
         book = self._ports.book
         return [
             server
@@ -340,7 +349,7 @@
         ]
 
     def _build_view(self) -> planner.PlannerView:
-        """Returns what is known of servers, instances and load."""
+        """Returns the planner's view of servers, instances and load."""
         ports = self._ports
         eligibilities = self._assess_servers()
         listed = ports.membership.list_servers(ports.cell.service)
@@ -362,7 +371,7 @@
         )
 
     def _list_instances(self) -> list[ids.InstanceId]:
-        """Returns the instances that may front a server."""
+        """Returns the instances that may be the front of a server."""
         ports = self._ports
         live = set(ports.book.list_live(self.settings.silence_s))
         live.add(ports.me)
@@ -406,11 +415,12 @@
     def _assess_down(
         self, server: ids.ServerId, front: ids.InstanceId, server_count: int
     ) -> planner.Eligibility:
-        """Decides whether a server that a front finds down is evicted.
+        """Decides whether a server that its front reports down is evicted.
 
-        One instance may be cut off and find many servers down, so on its
-        word alone only a share of the servers is evicted. Beyond that the
-        planner gives the server another front, whose word then counts too.
+        One instance may be cut off from the network and find many servers
+        down, so only a share of the servers is evicted on its report alone.
+        Beyond that, the planner gives the server another front, whose report
+        then counts too.
         """
         ports = self._ports
         if len(ports.book.list_down_reporters(server)) > 1:
@@ -434,5 +444,5 @@
 def _mark_all_held(
     servers: dict[ids.ServerId, planner.Eligibility],
 ) -> dict[ids.ServerId, planner.Eligibility]:
-    """Returns the same servers, none of which gets a slice yet."""
+    """Returns the servers, with all marked as held."""
     return dict.fromkeys(servers, planner.Eligibility.HELD)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
@@ -450,7 +450,7 @@
             return
         received_s = self._ports.clock.monotonic_s()
         if not reply.accepted:
-            self._log.info("lease refused: {}", reply.reason)
+            self._log.info("the server refused the lease: {}", reply.reason)
             await self._record_miss(reply.reason, sent_s)
             return
         self._accepted_front_token = ids.Token(request.front_token)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/leases.py
@@ -25,10 +25,10 @@
 
 
 def make_grant_token(token: ids.Token, *, is_backup: bool) -> ids.Token:
-    """Returns the token that a server sees for a token of the log.
+    """Returns the token that is sent to a server for a token of the log.
 
-    a backup acts under a token that is higher than the owner's and lower than
-    that of any later assignment.
+    The token of a backup is higher than the owner's and lower than that of any
+    later assignment.
     """
     return ids.Token(2 * token + is_backup)
 
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
@@ -1,8 +1,8 @@
-"""The fewest moves that restore service and balance.
+"""Computes the fewest moves that restore service and balance.
 
-The planner is a function of what the coordinator knows. It first gives a
-usable owner to every slice that has none, then a live front to every server,
-and last moves slices off overloaded servers within the churn budget.
+The plan depends only on the coordinator's view. It gives a usable owner to
+every slice that has none, moves slices off overloaded servers within the churn
+budget, and gives a live front to every server.
 """
 
 from collections.abc import Iterable
@@ -24,34 +24,38 @@
     """Whether a server may own slices."""
 
     USABLE = "usable"
-    """It serves, and may get more slices."""
+    """The server serves, and may get more slices."""
 
     HELD = "held"
-    """It keeps what it has but gets nothing more, such as while suspected."""
+    """The server keeps its slices but gets no more, such as while suspected."""
 
     UNUSABLE = "unusable"
-    """It is lost or leaving: every slice moves off it."""
+    """The server is lost or leaving: all its slices move to others."""
 
 
 class PlannerSettings(NamedTuple):
-    """How balance is weighed against churn."""
+    """The balance target and the budget of moves for it.
+
+    ``imbalance_target_ratio`` is the highest accepted load of a server over the
+    mean. ``balance_moves`` is the most slices that a plan moves for balance.
+    """
 
     imbalance_target_ratio: float
     balance_moves: int
 
 
 class UnfitFront(NamedTuple):
-    """An instance that cannot reach a server, so that another should try."""
+    """An instance that cannot reach a server and should not be its front."""
 
     server: ids.ServerId
     instance: ids.InstanceId
 
 
 class PlannerView(NamedTuple):
-    """What the coordinator knows.
+    """The coordinator's view of the service.
 
     ``domains`` are the failure domains of servers and instances by name.
-    ``loads`` are requests a second by slice; slices without load may be
+    ``loads`` are requests per second by slice; slices without load may be
     missing. ``handed_over`` are slices that a backup serves for their owner.
     """
 
@@ -65,7 +69,11 @@
 
 
 class Plan(NamedTuple):
-    """What should change. ``reason`` is for people."""
+    """The changes that should be made.
+
+    ``restored`` moves are for slices without a usable owner, ``balanced`` ones
+    for balance.
+    """
 
     moves: dict[ids.SliceIndex, ids.ServerId]
     fronts: list[records.ServerFront]
@@ -80,14 +88,14 @@
 
 
 class _Balance:
-    """The weight that each usable server carries while a plan is made."""
+    """The total slice weight of each usable server while a plan is made."""
 
     def __init__(self, view: PlannerView) -> None:
         self._view = view
         total = sum(view.loads.values())
         count = max(len(view.cell.slices), 1)
-        # A slice without load still weighs something, so that idle slices
-        # spread as well, and so that a few requests are no reason to move.
+        # A slice without load has a small weight too, so that idle slices are
+        # spread as well, and so that a few requests do not cause moves.
         self._idle_weight = max(
             total / count * _IDLE_WEIGHT_RATIO, _MIN_IDLE_WEIGHT
         )
@@ -113,11 +121,11 @@
 
 
 def plan(view: PlannerView, settings: PlannerSettings) -> Plan:
-    """Returns what should change.
+    """Returns the changes that should be made.
 
     Args:
-        view: What the coordinator knows.
-        settings: The target and the budget of moves for balance alone.
+        view: The coordinator's view.
+        settings: The balance target and the budget of moves for balance alone.
     """
     balance = _Balance(view)
     moves = _restore(view, balance)
@@ -136,7 +144,7 @@
 def _restore(
     view: PlannerView, balance: _Balance
 ) -> dict[ids.SliceIndex, ids.ServerId]:
-    """Gives slices without a usable owner to the least loaded servers."""
+    """Assigns slices without a usable owner to the least loaded servers."""
     if not balance.usable:
         return {}
     heap = [(weight, server) for server, weight in balance.weights.items()]
@@ -152,7 +160,10 @@
 
 
 def _list_orphans(view: PlannerView) -> Iterable[ids.SliceIndex]:
-    """Yields the slices whose owner is none, lost or leaving."""
+    """Yields the slices that need an owner.
+
+    They have none, their owner is lost or leaving, or a backup serves them.
+    """
     kept_servers = {
         server
         for server, eligibility in view.servers.items()
@@ -169,10 +180,10 @@
     balance: _Balance,
     moved: dict[ids.SliceIndex, ids.ServerId],
 ) -> dict[ids.SliceIndex, ids.ServerId]:
-    """Moves the best fitting slices from the most to the least loaded.
+    """Moves the best fitting slices from the most to the least loaded server.
 
-    It goes on until no server is above the target and none is as far below
-    the mean, so that a server that returns empty gets its share.
+    It continues until no server is above the target, and none is as far below
+    the mean. So a server that returns without slices gets its share.
     """
     moves: dict[ids.SliceIndex, ids.ServerId] = {}
     weights = balance.weights
@@ -190,7 +201,7 @@
             for index in view.cell.list_slices_of(heaviest)
             if index not in moved
             and index not in moves
-            and _is_quick_to_move(view.cell, index)
+            and _can_move_at_once(view.cell, index)
             and 0 < balance.weigh(index) < gap
         ]
         if not candidates:
@@ -204,11 +215,12 @@
     return moves
 
 
-def _is_quick_to_move(cell: cells.Cell, index: ids.SliceIndex) -> bool:
-    """Returns whether a slice would be let go of at once.
+def _can_move_at_once(cell: cells.Cell, index: ids.SliceIndex) -> bool:
+    """Returns whether the owner could release a slice at once.
 
-    It would not while an earlier owner may hold it, or while the server or
-    its backup may obey an earlier front: balance is not worth that wait.
+    It could not while an earlier owner may hold the slice, or while the server
+    or its backup may obey an earlier front. Moves for balance do not wait for
+    that.
     """
     state = cell.slices[index]
     front = cell.fronts.get(state.server)
@@ -219,12 +231,12 @@
 
 
 class _FrontAssigner:
-    """Chooses fronts and witnesses while a plan is made.
+    """Chooses fronts, witnesses and backups while a plan is made.
 
     A front is in another failure domain than its server, and its witnesses
-    in others than the front, as far as there are enough: so the loss of one
-    domain never takes a server together with its front, nor a front together
-    with its witnesses.
+    are in other domains than the front, as far as there are enough instances.
+    The loss of one domain then affects neither a server together with its
+    front, nor a front together with its witnesses.
     """
 
     def __init__(self, view: PlannerView) -> None:
@@ -241,7 +253,7 @@
         self._usable_set = set(self._usable)
 
     def plan(self) -> list[records.ServerFront]:
-        """Returns the servers whose front or witnesses should change."""
+        """Returns the servers whose front, witnesses or backup change."""
         if not self._view.instances:
             return []
         fronts = self._keep_fronts()
@@ -260,7 +272,7 @@
         return [change for change in wanted if self._is_change(change)]
 
     def _keep_fronts(self) -> dict[ids.ServerId, ids.InstanceId]:
-        """Returns the servers that keep a fit front with room for them."""
+        """Returns the servers whose front stays, if it is fit and has room."""
         kept = {}
         for server in self._needed:
             state = self._view.cell.fronts.get(server)
@@ -273,7 +285,7 @@
         return kept
 
     def _choose_front(self, server: ids.ServerId) -> ids.InstanceId:
-        """Returns the best instance that has room for a server."""
+        """Returns the best instance with room for a server as its front."""
         ranked = self._rank(server)
         fit = [
             instance
@@ -290,7 +302,7 @@
     def _choose_witnesses(
         self, server: ids.ServerId, front: ids.InstanceId
     ) -> tuple[ids.InstanceId, ...]:
-        """Returns the witnesses of a front; those that are fit are kept."""
+        """Returns the witnesses of a front; current ones that are live stay."""
         state = self._view.cell.fronts.get(server)
         kept = [
             witness
@@ -309,11 +321,11 @@
         return tuple(sorted(chosen))
 
     def _choose_backup(self, server: ids.ServerId) -> ids.ServerId:
-        """Returns a usable server to act for one lost while the log is down.
+        """Returns a usable server to serve for one lost while the log is down.
 
-        The present backup is kept while it is usable. A new one is found by
-        walking on from a place in the list that the server's hash gives, so
-        that a plan does not look at every pair of servers.
+        The present backup stays while it is usable. The search for a new one
+        starts at a position in the list that is given by the server's hash, so
+        that a plan does not compare every pair of servers.
         """
         state = self._view.cell.fronts.get(server)
         if state is not None and (
@@ -333,7 +345,7 @@
         return fallback
 
     def _rank(self, subject: str) -> list[ids.InstanceId]:
-        """Ranks the instances for a subject."""
+        """Ranks the instances for a subject by rendezvous hashing."""
         names = hashing.rank_by_rendezvous(subject, self._view.instances)
         return [ids.InstanceId(name) for name in names]
 
@@ -343,7 +355,7 @@
         return domains.get(left) != domains.get(right)
 
     def _is_change(self, wanted: records.ServerFront) -> bool:
-        """Returns whether the log says something else about a server."""
+        """Returns whether an entry differs from the log."""
         state = self._view.cell.fronts.get(wanted.server)
         if state is None:
             return True
@@ -355,6 +367,6 @@
 
 
 def _list_retired(view: PlannerView) -> list[ids.ServerId]:
-    """Returns servers that are listed no more and hold nothing."""
+    """Returns the servers that are no longer listed and hold no slice."""
     needed = set(view.servers) | view.cell.list_holders()
     return sorted(set(view.cell.fronts) - needed)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
@@ -78,7 +78,7 @@
                 self._loads.get(load.slice, 0.0) + load.requests
             )
         for seen in report.servers:
-            self._note_health(instance, seen)
+            self._record_health(instance, seen)
 
     def list_live(self, silence_s: float) -> list[ids.InstanceId]:
         """Returns the instances that reported in the last ``silence_s``."""
@@ -146,7 +146,7 @@
                 return seen
         return None
 
-    def _note_health(
+    def _record_health(
         self, instance: ids.InstanceId, seen: ServerReport
     ) -> None:
         """Records who reports a server down, until any front reports it up."""
