--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -409,7 +409,7 @@
                 return await self._attempt(
                     state, granted_server, permit, keyed=False
                 )
-            self._return_permit(permit, 0.0, permits_lib.Ending.UNUSED)
+            self._return_permit(permit, 0.0, permits_lib.Outcome.UNUSED)
         queue = self._queues.get(state.service)
         refusal = await self._wait_for_slot(state, queue, state.service)
         if refusal is not None:
@@ -451,7 +451,7 @@
         if permits is None or not is_used:
             return self._refuse_cold(state, cold) if cold else None
         started_s = self._clock.monotonic_s()
-        wanted = permit_client.Wanted(
+        applicant = permit_client.Applicant(
             state.service,
             state.route.priority,
             queueing.Deadlines(
@@ -462,7 +462,7 @@
             lambda: owner is None or self._is_owner(state, owner),
             lambda domain: self._selector.is_allowed(state.route, domain),
         )
-        result = await permits.obtain(wanted)
+        result = await permits.obtain(applicant)
         self._metrics.queue_seconds.observe(
             {"service": state.service}, self._clock.monotonic_s() - started_s
         )
@@ -470,7 +470,7 @@
             if not cold or self._covers_cold_server(result):
                 return result
             if result is not None:
-                self._return_permit(result, 0.0, permits_lib.Ending.UNUSED)
+                self._return_permit(result, 0.0, permits_lib.Outcome.UNUSED)
             return self._refuse_cold(state, cold)
         state.trail.append(f"no permit: {result.reason}")
         return self._refuse(result.reason, result.retry_after_ms)
@@ -531,12 +531,12 @@
         self,
         permit: permit_client.Permit,
         held_s: float,
-        ending: permits_lib.Ending,
+        permit_outcome: permits_lib.Outcome,
         pace_ratio: float = 0.0,
     ) -> None:
         """Returns a permit to its issuer."""
         assert self._permits is not None  # as it issued the permit
-        self._permits.give_back(permit, held_s, ending, pace_ratio)
+        self._permits.return_permit(permit, held_s, permit_outcome, pace_ratio)
 
     def _record_pace(
         self, server: servers_lib.Server, result: attempts.Attempt
@@ -657,7 +657,7 @@
         """
         held_s = 0.0
         pace_ratio = 0.0
-        ending = permits_lib.Ending.UNUSED
+        permit_outcome = permits_lib.Outcome.UNUSED
         try:
             refusal = await self._reserve_attempt(
                 state, server, permit, keyed=keyed
@@ -672,11 +672,11 @@
                 if permit is None:
                     server.queue.release(held_s, _make_queue_tier(state))
             if result is not None:
-                ending = permits_lib.name_ending(result)
+                permit_outcome = permits_lib.classify_attempt(result)
                 pace_ratio = self._record_pace(server, result)
         finally:
             if permit is not None:
-                self._return_permit(permit, held_s, ending, pace_ratio)
+                self._return_permit(permit, held_s, permit_outcome, pace_ratio)
         if result is None:
             return None
         self._metrics.attempt_seconds.observe(
@@ -743,7 +743,7 @@
         remaining_ms = (state.deadline_s - self._clock.monotonic_s()) * 1_000
         state.in_flight = True
         state.tried.add(server_id)
-        visit = self.watch.begin(
+        sent_request = self.watch.begin(
             state.fingerprint, state.request.request_id, server.listed
         )
         result: attempts.Attempt | attempts.Withheld | None = None
@@ -752,7 +752,7 @@
                 server.listed, state.request, remaining_ms, may_send
             )
         finally:
-            self.watch.end(visit, result)
+            self.watch.end(sent_request, result)
         state.in_flight = False
         if not isinstance(result, attempts.Withheld):
             return result
--- a/libs/bridgecross-entry/src/bridgecross_entry/follower.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/follower.py
@@ -1,9 +1,11 @@
-"""How a topic of the platform's log is followed by an instance.
+"""Follows a topic of the platform's log.
 
-A topic is read from the log, or told by the instance that reads for all.
-What is known is always the state of the topic before ``next_offset``: the
-offset never moves without the records before it, and never back. So whoever
-hears of the offset knows what is missing.
+A topic is either read from the log or relayed by the leader, the instance that
+reads for all.
+
+What is known always equals the state of the topic before ``next_offset``: the
+offset only moves forward, and only together with the records before it. So
+another instance can tell from the offset alone what is missing.
 """
 
 from collections.abc import Callable
@@ -20,160 +22,164 @@
 
 
 class Source(enum.Enum):
-    """By which way something was learned."""
+    """The source of the records that an instance has applied."""
 
     LOG = "log"
     """Read from the log by this instance."""
 
     PEER = "peer"
-    """Told by another instance."""
+    """Relayed by another instance."""
 
 
 class TopicBatch(NamedTuple):
-    """What one instance tells another of a topic."""
+    """The changes of a topic that one instance sends to another."""
 
     topic: str
-    # The receiver has to know the topic up to an offset from the first to the
-    # last of these. First is None: it need not know anything, and keys that
-    # are not named are gone.
+    # The batch applies to a receiver that knows the topic up to an offset from
+    # ``first_offset`` to ``last_offset``. If ``first_offset`` is None it
+    # applies to any receiver, and keys without a record in it have been
+    # removed.
     first_offset: int | None
     last_offset: int
     # The offset to read on from.
     next_offset: int
     # The newest record of each key that changed in between.
     records: tuple[logs.KeyedRecord, ...]
-    # How long ago the sender, or whoever told it, read the log.
+    # How long ago the log was read, by the sender or by the instance that the
+    # sender had this from.
     age_s: float
-    # Whether the sender cannot read the topic at the moment.
+    # Whether the sender cannot read the topic at present.
     is_lost: bool
 
 
 class TopicStatus(NamedTuple):
-    """How well a topic is known, for metrics."""
+    """The offset and age of what is known of a topic, for metrics."""
 
     topic: str
     # The offset to read on from; None before the first read.
     next_offset: int | None
     # How long ago the log was read up to there; None if it never was.
     age_s: float | None
-    # The greatest age since the last status, reached just before news came.
+    # The greatest age since the last status, measured just before each update.
     longest_age_s: float
-    # Words of the leader that were left aside, for want of what came before.
+    # Relayed batches that were dropped because earlier records were missing.
     dropped_batch_count: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FollowSettings:
-    """How a topic is followed."""
+    """The timing of reads of a topic."""
 
     topic: str
-    # How long a read may wait in the log for a record; 0 returns at once.
+    # How long a read may block in the log until a record arrives; 0 returns at
+    # once.
     wait_ms: float
-    # The pause between reads. With a wait it only bounds the rate.
+    # The pause between reads. If reads block, it only limits their rate.
     pause_s: float
-    # Whether it is read here at once when the leader cannot read it.
+    # Whether this instance reads the topic at once when the leader cannot.
     is_urgent: bool = False
-    # What is known is read here once it is older than this, whoever speaks and
-    # whatever is said. It bounds how old any instance's knowledge becomes, and
-    # with it how late a change is acted upon, for those that reach the log.
+    # Once what is known is older than this, the instance reads the topic
+    # itself, even while another instance relays it. For every instance that can
+    # reach the log this bounds the age of its knowledge, and thus how late it
+    # acts on a change.
     own_read_age_s: float = math.inf
-    # For so long after the start all reading is left to another instance, which
-    # then tells of it, however old that is.
+    # For this long after the start the instance leaves reading to another one
+    # and accepts what that one relays, whatever its age.
     first_read_wait_s: float = 0.0
-    # The pause after a failed read. How often the log is called while it does
-    # not answer is not decided here but by the circuit breaker before it.
+    # The pause after a failed read. The circuit breaker in front of the log
+    # decides how often the log is actually called while it does not answer.
     retry_pause_s: float = 0.3
-    # While another instance tells what it reads, this one reads nothing
-    # itself. Its word comes every 0.7 s, and when it ends, the next leader's
-    # after 1.4 s; one that is older is no longer waited for.
-    relay_fresh_s: float = 1.5
-    # How often that is looked at.
-    relay_look_s: float = 0.1
-    # A call fails within 0.8 s beyond its wait; the rest is for a busy
-    # processor. A reader that has heard nothing for longer has lost the topic,
-    # also if its call has not failed yet.
+    # An instance does not read while another one relays the topic and its last
+    # relay message is younger than this. Relay messages come every 0.7 s; after
+    # the leader has ended, the next leader's first one comes after 1.4 s.
+    relay_valid_s: float = 1.5
+    # How often that is checked.
+    relay_check_s: float = 0.1
+    # A call fails within 0.8 s beyond its wait; the rest allows for a busy
+    # processor. A reader that has had no answer for longer counts the topic as
+    # lost, even if its call has not failed yet.
     call_margin_s: float = 1.0
 
     @property
     def longest_silence_s(self) -> float:
-        """How long a reader hears nothing while all is well, at the most."""
+        """The longest time between two answers in normal operation."""
         return self.wait_ms / 1_000 + self.pause_s + self.call_margin_s
 
 
 class Follower:
-    """Follows one topic and hands its records over.
+    """Follows one topic and passes its records on.
 
-    One task; ``run`` goes on until it is cancelled.
+    ``run`` is one task, which goes on until it is cancelled.
     """
 
     def __init__(
         self,
         settings: FollowSettings,
         log: logs.PlatformLog,
-        take_all: Callable[[tuple[logs.KeyedRecord, ...]], None],
-        take_changes: Callable[[tuple[logs.KeyedRecord, ...]], None],
+        apply_all: Callable[[tuple[logs.KeyedRecord, ...]], None],
+        apply_changes: Callable[[tuple[logs.KeyedRecord, ...]], None],
         journal: journals.Journal,
         clock: clocks.Clock,
         on_read: Callable[[], None] | None = None,
     ) -> None:
-        """Reads nothing yet.
+        """Initializes the follower without reading.
 
         Args:
-            settings: Which topic, and how often.
+            settings: The topic, and the timing of reads.
             log: The platform's log.
-            take_all: Takes the newest record of every key.
-            take_changes: Takes the records that followed.
-            journal: Told when the log is lost and regained.
-            clock: For the age of what was read.
-            on_read: Called after each read that the log answered, and when
-                it is lost.
+            apply_all: Called with the newest record of every key.
+            apply_changes: Called with the records that followed.
+            journal: Receives a line when the log is lost or regained.
+            clock: Measures the age of what was read.
+            on_read: Called after each read that the log answered, and when the
+                log is lost.
         """
         self._settings = settings
         self._log = log
-        self._take_all = take_all
-        self._take_changes = take_changes
+        self._apply_all = apply_all
+        self._apply_changes = apply_changes
         self._journal = journal
         self._clock = clock
         self._on_read = on_read
         # The offset to read on from; None before the first read.
         self.next_offset: int | None = None
-        # Until when all reading is left to another instance.
+        # Before this time all reading is left to another instance.
         self._first_read_s = clock.monotonic_s() + settings.first_read_wait_s
-        # When the log was last read up to there, by this instance or by the
-        # one that told it; None if never.
+        # When the log was last read up to ``next_offset``, by this instance or
+        # by the one that relayed it; None if never.
         self.as_of_s: float | None = None
-        # Since when the log has been silent; None while it answers.
+        # Since when the log has not answered; None while it answers.
         self.lost_since_s: float | None = None
-        # When the log last came back after it had been silent.
+        # When the log last answered again after a loss.
         self.regained_s = float("-inf")
-        # When another instance last told what it read.
+        # When another instance last relayed the topic.
         self.last_relay_s = float("-inf")
-        # By which way the records came that were taken last.
+        # The source of the records that were applied last.
         self.source = Source.LOG
-        # Whether the last answer left out what would have made it too long.
+        # Whether the last answer was cut short for its length.
         self._has_more = False
-        self._left_aside_count = 0
-        self._in_gap = False
-        # The greatest age that was reached since it was last looked at.
+        self._dropped_batch_count = 0
+        self._is_dropping = False
+        # The greatest age since the last status.
         self._longest_age_s = 0.0
 
     @property
     def age_s(self) -> float:
-        """How long ago the log was read; infinite if it never was."""
+        """How long ago the log was last read; infinite if it never was."""
         if self.as_of_s is None:
             return float("inf")
         return self._clock.monotonic_s() - self.as_of_s
 
     @property
     def is_lost(self) -> bool:
-        """Whether this instance does not know what is new in the log."""
+        """Whether this instance may be unable to learn of newer records."""
         return (
             self.lost_since_s is not None
             or self.age_s > self._settings.longest_silence_s
         )
 
     def take_status(self) -> TopicStatus:
-        """Returns how well the topic is known; the longest age starts anew."""
+        """Returns the topic's status, and resets the longest age."""
         age_s = None if self.as_of_s is None else self.age_s
         longest_age_s = max(self._longest_age_s, age_s or 0.0)
         self._longest_age_s = 0.0
@@ -182,18 +188,18 @@
             self.next_offset,
             age_s,
             longest_age_s,
-            self._left_aside_count,
+            self._dropped_batch_count,
         )
 
     async def run(self) -> None:
         """Follows the topic until cancelled."""
         was_relayed = False
         while True:
-            # What is overdue is not waited for in the log on top of that.
+            # A read that is overdue does not block in the log on top of that.
             wait_ms = 0 if was_relayed else self._settings.wait_ms
             if self._is_relayed():
                 was_relayed = True
-                await anyio.sleep(self._settings.relay_look_s)
+                await anyio.sleep(self._settings.relay_check_s)
                 continue
             if was_relayed:
                 was_relayed = False
@@ -208,46 +214,50 @@
             else:
                 await anyio.sleep(self._settings.retry_pause_s)
 
-    # Told by another instance.
+    # Records that another instance relays.
 
     def apply_relayed(
         self, batch: TopicBatch, delay_s: float | None = 0.0
     ) -> None:
-        """Takes what another instance knows, unless some is missing before it.
+        """Applies a batch that another instance relays, unless there is a gap.
+
+        A gap means that records before the batch are missing here.
 
-        What a leader knows is taken even if it cannot read the log itself;
-        but then it is not waited for.
+        A batch is applied even if its sender cannot read the log itself; but
+        then this instance no longer leaves reading to the sender.
 
         Args:
-            batch: What it told.
-            delay_s: For how long the word was under way at the most; None if
-                that is not known, so that it says nothing of its age.
+            batch: The relayed changes.
+            delay_s: An upper bound of the time that the message was in transit;
+                None if that is unknown, and then the age of what is known stays
+                as it is.
         """
-        if not self._connects(batch):
-            self._note_gap(batch)
+        if not self._is_contiguous(batch):
+            self._note_dropped_batch(batch)
             return
-        self._in_gap = False
-        self._take_content(batch)
-        told_s = self._clock.monotonic_s() - (delay_s or 0.0)
+        self._is_dropping = False
+        self._apply_newer(batch)
+        sent_s = self._clock.monotonic_s() - (delay_s or 0.0)
         if delay_s is not None:
-            self._note_age(told_s - batch.age_s)
+            self._note_age(sent_s - batch.age_s)
         if batch.is_lost:
-            self._take_lost()
+            self._handle_lost_relay()
             return
-        self.last_relay_s = max(self.last_relay_s, told_s)
+        self.last_relay_s = max(self.last_relay_s, sent_s)
         self._note_regained()
 
     def apply_from_follower(self, batch: TopicBatch) -> None:
-        """Takes what another instance knows beyond this one.
+        """Applies a batch from a follower that is ahead of this instance.
 
-        Nobody is waited for on that account: this instance reads on, or tries.
+        This does not make this instance rely on the sender: it goes on reading,
+        or trying to read, the log itself.
         """
-        if self._connects(batch):
-            self._take_content(batch)
+        if self._is_contiguous(batch):
+            self._apply_newer(batch)
             self._note_age(self._clock.monotonic_s() - batch.age_s)
 
-    def _connects(self, batch: TopicBatch) -> bool:
-        """Whether a batch leaves out nothing that is not known."""
+    def _is_contiguous(self, batch: TopicBatch) -> bool:
+        """Whether no record between what is known and the batch is missing."""
         known_to = self.next_offset
         if batch.first_offset is None:
             return True
@@ -255,39 +265,39 @@
             return False
         return known_to <= batch.last_offset or known_to >= batch.next_offset
 
-    def _take_content(self, batch: TopicBatch) -> None:
-        """Takes the records of a batch that goes further than what is known."""
+    def _apply_newer(self, batch: TopicBatch) -> None:
+        """Applies the records of a batch that goes beyond what is known."""
         known_to = self.next_offset
         if known_to is not None and batch.next_offset <= known_to:
             return
-        is_whole = batch.first_offset is None
-        take = self._take_all if is_whole else self._take_changes
-        self._advance(batch.next_offset, Source.PEER, take, batch.records)
+        replaces_all = batch.first_offset is None
+        apply = self._apply_all if replaces_all else self._apply_changes
+        self._advance(batch.next_offset, Source.PEER, apply, batch.records)
 
     def _advance(
         self,
         next_offset: int,
         source: Source,
-        take: Callable[[tuple[logs.KeyedRecord, ...]], None],
+        apply: Callable[[tuple[logs.KeyedRecord, ...]], None],
         records: tuple[logs.KeyedRecord, ...],
     ) -> None:
-        """Moves the offset together with its records, or not at all."""
+        """Moves the offset and applies the records, or does neither."""
         known_to = self.next_offset
         self.next_offset = next_offset
         self.source = source
         try:
-            take(records)
+            apply(records)
         except BaseException:
             self.next_offset = known_to
             raise
 
-    def _take_lost(self) -> None:
-        """Takes it that the instance that reads for this one cannot.
+    def _handle_lost_relay(self) -> None:
+        """Handles a relay message whose sender cannot read the topic.
 
-        The log may turn that one away alone, so what is urgent is read here
-        at once. Once that has failed as well, the log is away for all most
-        likely, and it is left to the leader to go on trying; but now and then
-        it is tried here as well, for the log may be back for this one alone.
+        The log may reject only that one, so an urgent topic is read here at
+        once. If that fails too, the log is most likely unavailable to all, and
+        retrying is left to the leader; but from time to time this instance
+        tries as well, since the log may be available again to this one alone.
         """
         if self._settings.is_urgent and self.lost_since_s is None:
             self.stop_awaiting_relay()
@@ -296,12 +306,12 @@
             self.last_relay_s = self._clock.monotonic_s()
         self._note_lost("the leader has lost it")
 
-    def _note_gap(self, batch: TopicBatch) -> None:
-        """Counts a word that cannot be taken; tells of the first in a row."""
-        self._left_aside_count += 1
-        if self._in_gap:
+    def _note_dropped_batch(self, batch: TopicBatch) -> None:
+        """Counts a batch with a gap before it, and logs the first in a row."""
+        self._dropped_batch_count += 1
+        if self._is_dropping:
             return
-        self._in_gap = True
+        self._is_dropping = True
         self._journal.decision(
             "relay_left_aside",
             topic=self._settings.topic,
@@ -310,36 +320,37 @@
         )
 
     def stop_awaiting_relay(self) -> None:
-        """Reads by itself from now on, until it is told something again."""
+        """Reads the log itself until the topic is relayed again."""
         self.last_relay_s = float("-inf")
         self._first_read_s = float("-inf")
 
     def _is_relayed(self) -> bool:
-        """Whether another instance reads for this one.
+        """Whether reading is left to another instance.
 
-        While nobody reads the topic, trying is left to whoever speaks, since
-        each call costs; else what is known must not grow too old meanwhile.
+        While no instance can read the topic, retrying is left to the sender,
+        since each call costs money. Otherwise what is known must not grow too
+        old meanwhile.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._first_read_s:
             return True
         silent_s = now_s - self.last_relay_s
-        if silent_s >= self._settings.relay_fresh_s:
+        if silent_s >= self._settings.relay_valid_s:
             return False
         is_lost = self.lost_since_s is not None
         return is_lost or self.age_s < self._settings.own_read_age_s
 
-    # Read from the log.
+    # Records that this instance reads from the log.
 
     async def catch_up(self) -> bool:
-        """Reads what is there by now; returns whether the log answered."""
+        """Reads the available records; returns whether the log answered."""
         return await self._step(0)
 
     async def reload(self) -> bool:
-        """Reads the newest records again; returns whether the log answered.
+        """Reads the newest record of every key again.
 
-        What others told may have left a record out; before something is
-        written on top of the newest one, it is looked up in the log itself.
+        Before a record is written on top of the newest one, that one is looked
+        up in the log itself, since relayed batches may have left it out.
         """
         return await self._start()
 
@@ -347,8 +358,8 @@
         """Reads once; returns whether the log answered."""
         first_offset = self.next_offset
         if first_offset is None or self.lost_since_s is not None:
-            # After a loss the newest records are asked for: what was written
-            # meanwhile may be too long for one answer, over and over again.
+            # After a loss the newest records are read: the changes since may be
+            # too long for one answer, each time anew.
             return await self._start()
         asked_s = self._clock.monotonic_s()
         result = await self._log.read(
@@ -358,52 +369,56 @@
             self._note_lost(result.reason)
             return False
         if isinstance(result, logs.Forgotten):
-            # What is known stays true; only what followed is looked up anew.
+            # What is known stays valid; only the changes after it are read
+            # anew.
             self._journal.lifecycle(
                 "history_forgotten",
                 topic=self._settings.topic,
                 offset=first_offset,
             )
             return await self._start()
-        is_whole = result.next_offset >= result.end
-        if not result.records and not is_whole:
-            # The next record fits into no answer to a read.
+        is_complete = result.next_offset >= result.end
+        if not result.records and not is_complete:
+            # The next record is too long for an answer to a read.
             return await self._start()
-        self._take_read(first_offset, result)
-        self._has_more = not is_whole
-        if is_whole:
-            # An answer tells how things were when it was asked for, and one
-            # without a record comes only once the wait is over.
+        self._apply_read(first_offset, result)
+        self._has_more = not is_complete
+        if is_complete:
+            # An answer reflects the topic at the time of the request. One
+            # without records is sent only when the wait is over, and reflects
+            # that time.
             waited_s = 0.0 if result.records else wait_ms / 1_000
-            heard_s = min(asked_s + waited_s, self._clock.monotonic_s())
-            self._note_heard(heard_s)
-        self._tell_read()
+            as_of_s = min(asked_s + waited_s, self._clock.monotonic_s())
+            self._note_answer(as_of_s)
+        self._notify_read()
         return True
 
-    def _tell_read(self) -> None:
-        """Tells whoever waits for it that the log was asked."""
+    def _notify_read(self) -> None:
+        """Calls ``on_read``, if there is one."""
         if self._on_read is not None:
             self._on_read()
 
-    def _take_read(self, first_offset: int, batch: logs.Batch) -> None:
-        """Takes what was read, but for what was told in the meantime."""
+    def _apply_read(self, first_offset: int, batch: logs.Batch) -> None:
+        """Applies what was read, except for what was relayed meanwhile."""
         known_to = self.next_offset or 0
         if batch.next_offset <= known_to:
             return
         new = batch.records[known_to - first_offset :]
-        self._advance(batch.next_offset, Source.LOG, self._take_changes, new)
+        self._advance(batch.next_offset, Source.LOG, self._apply_changes, new)
 
     def note_own_append(self, offset: int, record: logs.KeyedRecord) -> None:
-        """Takes in a record that this process appended itself.
+        """Applies a record that this process has appended itself.
 
-        It is taken like one that was read: whoever is told where to read on
-        from must be told of it as well.
+        It is applied like a record that was read, so that it is also relayed to
+        instances that are told to read on after it.
         """
         if self.next_offset == offset:
-            self._advance(offset + 1, Source.LOG, self._take_changes, (record,))
+            self._advance(
+                offset + 1, Source.LOG, self._apply_changes, (record,)
+            )
 
     async def _start(self) -> bool:
-        """Reads the newest record of every key."""
+        """Reads all newest records; returns whether the log answered."""
         asked_s = self._clock.monotonic_s()
         result = await self._log.read_newest(self._settings.topic)
         self._has_more = False
@@ -411,21 +426,21 @@
             self._note_lost(result.reason)
             return False
         if self.next_offset is None:
-            # The leader will tell what comes next, if there is one.
+            # The leader, if there is one, will relay what follows.
             self.last_relay_s = self._clock.monotonic_s()
-        # More may have been told while the answer was under way.
+        # More may have been relayed while the call was in progress.
         if self.next_offset is None or result.end >= self.next_offset:
             self._advance(
-                result.end, Source.LOG, self._take_all, result.records
+                result.end, Source.LOG, self._apply_all, result.records
             )
-        self._note_heard(asked_s)
-        self._tell_read()
+        self._note_answer(asked_s)
+        self._notify_read()
         return True
 
-    # What is known of the log itself.
+    # Availability of the log, and age of what is known.
 
     def _note_lost(self, reason: str) -> None:
-        """Keeps since when the log has been silent."""
+        """Records that the log does not answer."""
         if self.lost_since_s is None:
             self.lost_since_s = self._clock.monotonic_s()
             self._journal.lifecycle(
@@ -434,15 +449,15 @@
                 reason=reason,
                 age_s=self._rounded_age_s(),
             )
-            self._tell_read()
+            self._notify_read()
 
-    def _note_heard(self, heard_s: float) -> None:
-        """Keeps when the log answered."""
-        self._note_age(heard_s)
+    def _note_answer(self, as_of_s: float) -> None:
+        """Records when the log answered."""
+        self._note_age(as_of_s)
         self._note_regained()
 
     def _note_age(self, as_of_s: float) -> None:
-        """Keeps when the log was read, be it by another instance."""
+        """Records when the log was read, by this or another instance."""
         if self.as_of_s is None:
             self.as_of_s = as_of_s
         elif as_of_s > self.as_of_s:
@@ -450,11 +465,11 @@
             self.as_of_s = as_of_s
 
     def _rounded_age_s(self) -> float | None:
-        """Returns how old what is known is, for a line of the log."""
+        """Returns the age of what is known, rounded for log lines."""
         return None if self.as_of_s is None else round(self.age_s, 3)
 
     def _note_regained(self) -> None:
-        """Keeps that the log is there again."""
+        """Records that the log answers again."""
         if self.lost_since_s is not None:
             now_s = self._clock.monotonic_s()
             self._journal.lifecycle(
--- a/libs/bridgecross-entry/src/bridgecross_entry/log_breaker.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/log_breaker.py
@@ -1,10 +1,9 @@
 """A circuit breaker in front of the platform's log.
 
-Every call is priced, also one that is turned away. While the log does not
-answer for a topic, one call at a time finds out whether it does again; all
-others about that topic are told at once that it does not. Topics fail one by
-one: each has partitions of its own, and one that is away says nothing about
-another.
+Every call costs money, including a rejected one. While the log does not answer
+for a topic, one call at a time tests whether it does again, and all other calls
+for that topic fail at once. Topics fail independently: each has its own
+partitions, so one that is unavailable says nothing about another.
 """
 
 from collections.abc import Awaitable
@@ -20,18 +19,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BreakerSettings:
-    """When the log is tried again."""
+    """The timing of new attempts."""
 
-    # The pause after the first failure: a call that was lost alone is made
-    # again well within the drain bound of 2 s.
+    # The pause after the first failure. It is short so that, if a single call
+    # was lost, the next one is made well within the drain bound of 2 s.
     first_pause_s: float = 0.3
-    # The longest to which it doubles. Entries that lapsed are back 2 s after
-    # the log is, so it must be noticed before that.
+    # The maximum pause; the pause doubles up to it. Expired entries of the
+    # server list return 2 s after the log does, so the log's return must be
+    # noticed before that.
     longest_pause_s: float = 1.2
 
 
 class _Circuit:
-    """Whether calls about one topic are let through."""
+    """The circuit breaker of one topic."""
 
     def __init__(
         self,
@@ -40,77 +40,81 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Lets every call through."""
+        """Initializes a closed breaker, which lets every call pass."""
         self._topic = topic
         self._settings = settings
         self._journal = journal
         self._clock = clock
-        # The pause between tries; 0 while the log answers.
+        # The pause between attempts; 0 while the log answers.
         self._pause_s = 0.0
-        self._next_try_s = 0.0
-        # Calls that were not made.
-        self._spared_count = 0
+        self._next_attempt_s = 0.0
+        # The number of calls that were rejected.
+        self._rejected_count = 0
 
-    def spare(self, *, is_write: bool = False) -> logs.Unreachable | None:
-        """Returns why a call is not made; None if it may be made.
+    def reject_if_open(
+        self, *, is_write: bool = False
+    ) -> logs.Unreachable | None:
+        """Returns an error if the call must not be made, else None.
 
-        Only reads find out whether the log is back: a write without an answer
-        says little, and one with an answer is too seldom.
+        Only reads test whether the log is available again: a write without an
+        answer proves little, and writes are too rare.
         """
         if not self._pause_s:
             return None
         now_s = self._clock.monotonic_s()
-        if is_write or now_s < self._next_try_s:
-            self._spared_count += 1
-            return logs.Unreachable("it did not answer just now")
-        # This call finds out for all that come before its answer.
-        self._next_try_s = now_s + self._pause_s
+        if is_write or now_s < self._next_attempt_s:
+            self._rejected_count += 1
+            return logs.Unreachable("the log did not answer recent calls")
+        # This call is the test; others are rejected until its answer or the end
+        # of the next pause.
+        self._next_attempt_s = now_s + self._pause_s
         return None
 
     async def read(self, call: Awaitable[_Result]) -> _Result:
-        """Makes a reading call and learns from it.
+        """Makes a read call and updates the breaker with its result.
 
-        Writes are few, and one without an answer says little about reads.
+        Writes are rare, and one without an answer proves little about reads.
         """
         was_open = bool(self._pause_s)
         result = await call
         if not isinstance(result, logs.Unreachable):
             self._close()
         elif was_open or not self._pause_s:
-            # Calls that were under way when it opened tell nothing new.
+            # A failed call that began before the breaker opened proves nothing
+            # new.
             self._open(result.reason)
         return result
 
     def _open(self, reason: str) -> None:
-        """Makes a pause, a longer one each time."""
+        """Opens the breaker, or doubles its pause."""
         if not self._pause_s:
             self._journal.decision(
                 "log_breaker_opened", topic=self._topic, reason=reason
             )
         else:
-            # Why it is still away may be another reason than at first.
+            # The reason may differ from the one at the first failure.
             self._journal.decision(
                 "log_still_away", topic=self._topic, reason=reason
             )
         settings = self._settings
         longer_s = max(2 * self._pause_s, settings.first_pause_s)
         self._pause_s = min(longer_s, settings.longest_pause_s)
-        self._next_try_s = self._clock.monotonic_s() + self._pause_s
+        self._next_attempt_s = self._clock.monotonic_s() + self._pause_s
 
     def _close(self) -> None:
-        """Lets every call through again."""
+        """Closes the breaker."""
         if self._pause_s:
             self._journal.decision(
                 "log_breaker_closed",
                 topic=self._topic,
-                spared=self._spared_count,
+                spared=self._rejected_count,
             )
         self._pause_s = 0.0
-        self._spared_count = 0
+        self._rejected_count = 0
 
 
 class CircuitBreaker:
-    """A ``logs.PlatformLog`` that leaves topics alone that do not answer."""
+    """A ``logs.PlatformLog`` that spares topics that do not answer."""
 
     def __init__(
         self,
@@ -119,13 +123,13 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Lets every call through.
+        """Initializes all topics as available.
 
         Args:
-            settings: When to try again.
-            log: The log behind it.
-            journal: Told when it opens and closes.
-            clock: For the pauses.
+            settings: The timing of new attempts.
+            log: The log that calls are passed on to.
+            journal: Receives a line when a topic's breaker opens or closes.
+            clock: Measures the pauses.
         """
         self._settings = settings
         self._log = log
@@ -136,9 +140,9 @@
     async def read_newest(self, topic: str) -> logs.Newest | logs.Unreachable:
         """Returns the newest record of each key; see ``PlatformLog``."""
         circuit = self._circuit(topic)
-        spared = circuit.spare()
-        if spared is not None:
-            return spared
+        rejected = circuit.reject_if_open()
+        if rejected is not None:
+            return rejected
         return await circuit.read(self._log.read_newest(topic))
 
     async def read(
@@ -146,25 +150,25 @@
     ) -> logs.Batch | logs.Forgotten | logs.Unreachable:
         """Returns records from an offset on; see ``PlatformLog``."""
         circuit = self._circuit(topic)
-        spared = circuit.spare()
-        if spared is not None:
-            return spared
+        rejected = circuit.reject_if_open()
+        if rejected is not None:
+            return rejected
         return await circuit.read(self._log.read(topic, offset, wait_ms))
 
     async def append(
         self, topic: str, record: logs.KeyedRecord, expected_end: int
     ) -> logs.Appended | logs.Conflict | logs.Uncertain | logs.Unreachable:
-        """Appends a record on a condition; see ``PlatformLog``."""
-        spared = self._circuit(topic).spare(is_write=True)
-        return spared or await self._log.append(topic, record, expected_end)
+        """Appends a record conditionally; see ``PlatformLog``."""
+        rejected = self._circuit(topic).reject_if_open(is_write=True)
+        return rejected or await self._log.append(topic, record, expected_end)
 
     async def put(self, topic: str, record: logs.KeyedRecord) -> bool:
-        """Appends a record on no condition; see ``PlatformLog``."""
-        spared = self._circuit(topic).spare(is_write=True)
-        return not spared and await self._log.put(topic, record)
+        """Appends a record unconditionally; see ``PlatformLog``."""
+        rejected = self._circuit(topic).reject_if_open(is_write=True)
+        return not rejected and await self._log.put(topic, record)
 
     def _circuit(self, topic: str) -> _Circuit:
-        """Returns what is known of the log for one topic."""
+        """Returns the circuit breaker of a topic."""
         circuit = self._circuits.get(topic)
         if circuit is None:
             circuit = _Circuit(
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -15,7 +15,7 @@
 from bridgecross_entry import log
 from bridgecross_entry import model
 from bridgecross_entry import peers
-from bridgecross_entry import poison_news
+from bridgecross_entry import poison_broadcast
 from bridgecross_entry import relaying
 from bridgecross_request import poison_requests
 
@@ -90,10 +90,12 @@
             journal,
         )
 
-    def make_news(self, platform_log, real) -> poison_news.PoisonNews:
+    def make_news(
+        self, platform_log, real
+    ) -> poison_broadcast.PoisonBroadcaster:
         journal = support.make_journal(real)
-        return poison_news.PoisonNews(
-            poison_news.PoisonNewsSettings(),
+        return poison_broadcast.PoisonBroadcaster(
+            poison_broadcast.PoisonBroadcastSettings(),
             poison_requests.PoisonLedger(
                 poison_requests.PoisonSettings(), real
             ),
@@ -303,14 +305,14 @@
     address = model.Address("10.0.0.1", 1)
     await client.push_map(address, b"")
     manual.now_s += 1.5
-    assert client.lost_for_s(address) == 1.5
+    assert client.unresponsive_for_s(address) == 1.5
     manual.now_s += 60
-    assert client.lost_for_s(address) == 0
+    assert client.unresponsive_for_s(address) == 0
     await client.push_map(address, b"")
     manual.now_s += 1.5
-    assert client.lost_for_s(address) == 1.5
+    assert client.unresponsive_for_s(address) == 1.5
     await client.push_map(address, b"")
-    assert client.lost_for_s(address) == 0
+    assert client.unresponsive_for_s(address) == 0
 
 
 async def test_one_that_knows_of_nobody_else_must_see_the_list_to_lead_alone():
@@ -323,11 +325,11 @@
     scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.leader.reader.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].away_topics = set()
     await scene.leader.reader.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
 
 
 async def test_one_that_has_just_started_counts_for_no_majority():
@@ -337,10 +339,10 @@
     scene.voice(False)
     scene.leader.wire.cut = {scene.others[1].address}
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.voice(True)
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
 
 
 async def test_who_does_not_know_the_others_counts_no_majority():
@@ -348,8 +350,8 @@
     scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s == float("inf")
+    assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].away_topics = set()
     await scene.read()
     await scene.leader.tell()
-    assert scene.leader.lead.known_s < float("inf")
+    assert scene.leader.lead.majority_known_s < float("inf")
