--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -403,7 +403,7 @@
             return self._make_final_outcome(state, permit)
         if permit is not None:
             granted_server = self._book.get(permit.server_id)
-            if granted_server and self._selector.list_with_room(
+            if granted_server and self._selector.exclude_overloaded(
                 [granted_server], state.shed_by
             ):
                 return await self._attempt(
@@ -445,8 +445,8 @@
             cold = [owner] if self._book.is_cold(owner) else []
         elif not is_used or state.skips_permits:
             usable = self._selector.list_usable(state.route, state.service)
-            awake = self._selector.list_awake(usable)
-            cold = awake if self._selector.are_cold(awake) else []
+            available = self._selector.exclude_backoffs(usable)
+            cold = available if self._selector.are_cold(available) else []
         is_used = bool(cold) or (is_used and not state.skips_permits)
         if permits is None or not is_used:
             return self._refuse_cold(state, cold) if cold else None
@@ -458,7 +458,7 @@
                 min(state.target_s, state.deadline_s), state.deadline_s
             ),
             owner.listed if owner else None,
-            state.tried | self._selector.resting_ids(state.service),
+            state.tried | self._selector.ids_in_backoff(state.service),
             lambda: owner is None or self._is_owner(state, owner),
             lambda domain: self._selector.is_allowed(state.route, domain),
         )
@@ -488,10 +488,12 @@
             servers: The servers that could serve it. If empty, this returns
                 None, as the caller has a more precise reason to refuse it.
         """
-        if not servers or self._selector.list_with_room(servers, state.shed_by):
+        if not servers or self._selector.exclude_overloaded(
+            servers, state.shed_by
+        ):
             return None
         names = ", ".join(s.listed.server_id for s in servers[:3])
-        if self._selector.list_awake(servers):
+        if self._selector.exclude_backoffs(servers):
             state.trail.append(f"{names}: no other server")
             return self._refuse(
                 "no server took it", self._default_retry_after_ms(state)
@@ -585,12 +587,12 @@
         if not usable:
             state.trail.append("no server may be used")
             return self._refuse("no server of the service may be used")
-        awake = self._selector.list_awake(usable)
-        if not awake:
+        available = self._selector.exclude_backoffs(usable)
+        if not available:
             return self._refuse_for_backoff(state, usable)
-        others = self._selector.list_with_room(awake, state.shed_by)
-        chosen = self._selector.choose(others or awake, state.tried)
-        return chosen or self._refuse_cold(state, awake)
+        others = self._selector.exclude_overloaded(available, state.shed_by)
+        chosen = self._selector.choose(others or available, state.tried)
+        return chosen or self._refuse_cold(state, available)
 
     async def _choose_owner(
         self, state: _RequestState
--- a/libs/bridgecross-entry/src/bridgecross_entry/exchange.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/exchange.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 exchanges with one address over kept connections.
 
-The parser is ``httptools``; this module adds what a router must know exactly
-and what general clients keep to themselves: whether a byte of a request was
-written, whether an answer is whole, and whether a connection may be used
-again. A connection that saw anything unusual is closed, never used again.
+The parser is ``httptools``. This module adds what a router must know exactly
+and general-purpose clients do not expose: whether any byte of a request was
+written, whether an answer is complete, and whether a connection may be reused.
+A connection on which anything unusual happened is closed and never reused.
 """
 
 import asyncio
@@ -27,39 +27,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """How connections to one address are made and kept."""
+    """Settings for opening and keeping connections to one address."""
 
-    # Connecting takes under 2 ms inside a place; a lost opening packet is
-    # sent again after a second, and another try is quicker than that.
+    # Connecting takes less than 2 ms inside a place. A lost SYN packet is
+    # retransmitted after a second, and a new attempt is faster than that.
     connect_timeout_s: float = 0.25
-    # Unacknowledged bytes break a connection after this time: a peer behind
-    # a partition says nothing, and the kernel would try for minutes.
+    # A connection is closed if sent bytes are unacknowledged for this time: a
+    # peer behind a network partition is silent, and the kernel would retransmit
+    # for minutes.
     unacknowledged_timeout_s: float = 3.0
-    # An idle connection is closed after this time, unless the server named a
-    # shorter one. Servers close theirs after 10 s or more.
+    # An idle connection is closed after this time, unless the server specified
+    # a shorter one. Servers close theirs after 10 s or more.
     idle_timeout_s: float = 8.0
-    # A request on a connection that the server is about to close is lost, so
-    # a connection is given up this much before the time the server named.
+    # A request on a connection that the server is about to close is lost, so a
+    # connection is closed this long before the timeout that the server
+    # specified.
     idle_margin_s: float = 1.0
-    # Whether an exchange that is given up drops the connections that were idle
-    # before it began: open ones may have gone silent for good, and each would
-    # cost another timeout. Only where exchanges are not given up for other
-    # reasons; new connections to servers are dear.
+    # Whether a cancelled exchange closes the connections that were idle before
+    # it began: they may be dead without a sign, and each would cost another
+    # timeout. Only for users that cancel for no other reason than a timeout,
+    # as new connections to servers are expensive.
     drops_idle_on_timeout: bool = False
-    # Larger answers break the exchange; memory is 300 MB an instance.
+    # An exchange fails if the answer is larger; an instance has 300 MB of
+    # memory.
     max_body_bytes: int = 64 * 1024 * 1024
 
 
 class Reply(NamedTuple):
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
-    # Names in lower case.
+    # The names are in lower case.
     headers: tuple[outcomes.Header, ...]
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Returns the value of the first header of a name, in lower case."""
+        """Returns the first value of a header, whose name is in lower case."""
         for header in self.headers:
             if header.name == name:
                 return header.value
@@ -67,32 +70,32 @@
 
 
 class Unsent(NamedTuple):
-    """Not one byte of the request was written."""
+    """No byte of the request was written."""
 
     reason: str
     # Whether the address refused the connection.
     refused: bool
-    # Whether it may not be sent any more, though there is a connection.
+    # Whether there was a connection, but ``MaySend`` did not allow to send.
     is_withheld: bool = False
 
 
 class Broken(NamedTuple):
-    """Bytes were written, and no whole answer came."""
+    """Bytes were written, but no complete answer arrived."""
 
     reason: str
 
 
 Result = Reply | Unsent | Broken
 Accepts = Callable[[Reply], bool]
-"""Tells whether an answer belongs to the request that was sent."""
+"""Returns whether an answer belongs to the request that was sent."""
 
 MaySend = Callable[[], bool]
-"""Tells whether a request may still be sent; nothing is awaited between this
-and its first byte."""
+"""Returns whether a request may still be sent; nothing is awaited between the
+call and the first byte of the request."""
 
 
 def _always() -> bool:
-    """Lets everything be sent."""
+    """Allows every request."""
     return True
 
 
@@ -103,14 +106,14 @@
     """Exchanges messages with one address."""
 
     async def exchange(self, request: bytes, accepts: Accepts) -> Result:
-        """Sends one request; the caller bounds the time by cancelling."""
+        """Sends one request; the caller limits the time by cancelling."""
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, on which one exchange runs at a time."""
+    """A connection that runs one exchange at a time."""
 
     def __init__(self, settings: ConnectionSettings, opened_s: float) -> None:
-        """Waits for the transport."""
+        """Creates the protocol of a connection that is being opened."""
         self._settings = settings
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
@@ -120,20 +123,20 @@
         self._body: list[bytes] = []
         self._body_size_bytes = 0
         self._status = 0
-        self._framed = False
+        self._is_length_known = False
         self._in_answer = False
-        # Whether the answer ends with its head, whatever length it names.
+        # Whether the answer has no body, whatever its Content-Length says.
         self._wants_head_only = False
         self.reusable = True
         self.idle_limit_s = settings.idle_timeout_s
-        # From when on it has led to the same process of the other side; its own
-        # opening, unless the other side has told since how it is.
+        # When it was opened: it leads to the process that ran at that time. It
+        # is verified once the server has reported its state on it.
         self.opened_s = opened_s
         self.is_verified = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport and bounds silence of the peer."""
-        # uvloop's transports have the methods without being of the class.
+        """Stores the transport and sets the TCP user timeout."""
+        # uvloop's transports have the methods but do not derive from the class.
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -144,7 +147,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether another exchange may start here."""
+        """Whether another exchange may start on this connection."""
         transport = self._transport
         return (
             self.reusable
@@ -153,21 +156,22 @@
         )
 
     def abort(self) -> None:
-        """Closes the connection at once, dropping unsent bytes."""
+        """Closes the connection immediately, dropping unsent bytes."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
     def _reset(self) -> None:
-        """Closes the connection; what the other side lacks is not sent again.
+        """Closes the connection with a reset, without retransmissions.
 
-        The kernel would go on for seconds with a request that was given up.
+        Otherwise the kernel would go on for seconds to deliver a request that
+        was cancelled.
         """
         transport = self._transport
         sock = transport.get_extra_info("socket") if transport else None
         if sock is not None:
-            at_once = struct.pack("ii", 1, 0)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+            zero_linger = struct.pack("ii", 1, 0)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
         self.abort()
 
     async def exchange(
@@ -175,9 +179,9 @@
     ) -> Reply | Broken:
         """Sends a request and returns its answer.
 
-        Cancelling it closes the connection, which tells the server to stop.
+        Cancelling this closes the connection, which makes the server stop.
         """
-        assert self._transport is not None  # by the pool
+        assert self._transport is not None  # the pool has connected it
         self._result = asyncio.get_running_loop().create_future()
         self._accepts = accepts
         self._wants_head_only = request.startswith(b"HEAD ")
@@ -191,106 +195,108 @@
             self._result = None
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser; bytes that nobody waits for end the connection."""
+        """Feeds the parser; unexpected bytes close the connection."""
         if self._result is None or self._result.done():
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._break("the server switched protocols")
+            self._fail("the server switched protocols")
         except httptools.HttpParserError as error:
-            self._break(f"the answer is not HTTP: {error}")
+            self._fail(f"the answer is not HTTP: {error}")
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length, and the connection."""
-        if self._in_answer and self._status and not self._framed:
+        """Completes an answer without a length, and closes the connection."""
+        if self._in_answer and self._status and not self._is_length_known:
             self._finish()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Breaks the exchange that waits, if there is one."""
+        """Fails the exchange in progress, if any."""
         self.reusable = False
-        self._break(f"the connection ended: {error or 'closed by the server'}")
+        self._fail(f"the connection ended: {error or 'closed by the server'}")
 
     def on_message_begin(self) -> None:
-        """Begins an answer; a surplus one spoils the connection."""
+        """Starts an answer; an unexpected one makes reuse impossible."""
         if self._result is None or self._result.done():
             self.reusable = False
         self._headers = []
         self._body = []
         self._body_size_bytes = 0
         self._status = 0
-        self._framed = False
+        self._is_length_known = False
         self._in_answer = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps one header."""
+        """Stores one header."""
         lowered = name.lower()
         if lowered in {b"content-length", b"transfer-encoding"}:
-            self._framed = True
+            self._is_length_known = True
         self._headers.append(outcomes.Header(lowered, value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Reads the status and whether the connection goes on."""
+        """Reads the status and whether the connection stays open."""
         self._status = self._parser.get_status_code()
         if self._status in _NO_BODY_STATUSES:
-            self._framed = True
+            self._is_length_known = True
         if not self._parser.should_keep_alive():
             self.reusable = False
         for header in self._headers:
             if header.name == b"keep-alive":
                 self._read_keep_alive(header.value)
         if self._wants_head_only and self._status >= _FIRST_FINAL_STATUS:
-            # The parser takes it that a body follows, and is of no more use.
+            # The parser expects a body and cannot parse another answer.
             self.reusable = False
             self._finish()
 
     def on_body(self, body: bytes) -> None:
-        """Keeps a piece of the body."""
+        """Stores a part of the body."""
         self._body_size_bytes += len(body)
         if self._body_size_bytes > self._settings.max_body_bytes:
-            self._break("the answer is too large")
+            self._fail("the answer is too large")
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hands the answer over."""
+        """Completes the answer, unless it is an interim one."""
         if self._status < _FIRST_FINAL_STATUS:
             return
         self._finish()
 
     def _finish(self) -> None:
-        """Ends an answer: hands it over if it is the one waited for."""
+        """Completes an answer: delivers it if it belongs to the request."""
         self._in_answer = False
         if self._result is None or self._result.done():
             return
         reply = Reply(self._status, tuple(self._headers), b"".join(self._body))
         if self._accepts is not None and not self._accepts(reply):
-            # An answer to an earlier request, come late; ours may follow.
+            # A late answer to an earlier request; the expected one may follow.
             self.reusable = False
             return
         if self._transport is None or self._transport.get_write_buffer_size():
             self.reusable = False
         self._result.set_result(reply)
 
-    def _break(self, reason: str) -> None:
-        """Ends the exchange without an answer."""
+    def _fail(self, reason: str) -> None:
+        """Fails the exchange and closes the connection."""
         if self._result is not None and not self._result.done():
             self._result.set_result(Broken(reason))
         self.abort()
 
     def _read_keep_alive(self, value: bytes) -> None:
-        """Shortens the idle time to what the server named."""
+        """Limits the idle time to the timeout of a Keep-Alive header."""
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
             if name.lower() == b"timeout" and number.strip().isdigit():
-                named_s = float(number) - self._settings.idle_margin_s
-                self.idle_limit_s = min(self.idle_limit_s, max(named_s, 0.0))
+                server_limit_s = float(number) - self._settings.idle_margin_s
+                self.idle_limit_s = min(
+                    self.idle_limit_s, max(server_limit_s, 0.0)
+                )
 
 
-class _Idle(NamedTuple):
-    """A connection that waits for its next exchange."""
+class _IdleConnection(NamedTuple):
+    """A connection that is not used by an exchange."""
 
     connection: _Connection
     since_s: float
@@ -305,41 +311,41 @@
         settings: ConnectionSettings,
         clock: clocks.Clock,
     ) -> None:
-        """Opens nothing yet."""
+        """Creates a pool without connections."""
         self.address = address
         self.opened_count = 0
         self._settings = settings
         self._clock = clock
-        self._idle: list[_Idle] = []
+        self._idle: list[_IdleConnection] = []
 
     async def exchange(
         self, request: bytes, accepts: Accepts, may_send: MaySend = _always
     ) -> Result:
-        """Sends one request; the caller bounds the time by cancelling.
+        """Sends one request; the caller limits the time by cancelling.
 
         Args:
-            request: What is written.
-            accepts: Tells whether an answer belongs to it.
-            may_send: Asked once there is a connection.
+            request: The bytes to write.
+            accepts: Returns whether an answer belongs to the request.
+            may_send: Called once there is a connection.
         """
-        begun_s = self._clock.monotonic_s()
-        taken = self._take_idle()
-        if taken is None:
+        started_s = self._clock.monotonic_s()
+        idle = self._take_idle()
+        if idle is None:
             opened = await self._open()
             if isinstance(opened, Unsent):
                 return opened
-            taken = _Idle(opened, self._clock.monotonic_s())
+            idle = _IdleConnection(opened, self._clock.monotonic_s())
         if not may_send():
-            # A limit of the time to connect is a timer of this process, and
-            # comes late if the host is held up.
-            self._idle.append(taken)
+            # The time to connect does not bound the delay until here: its
+            # timer fires late if the host is suspended.
+            self._idle.append(idle)
             return _WITHHELD
-        connection = taken.connection
+        connection = idle.connection
         try:
             result = await connection.exchange(request, accepts)
         except asyncio.CancelledError:
             if self._settings.drops_idle_on_timeout:
-                self._drop_idle_since(begun_s)
+                self._close_idle_since(started_s)
             raise
         if isinstance(result, Reply) and connection.usable:
             self._keep(connection)
@@ -350,26 +356,26 @@
     def _keep(self, connection: _Connection) -> None:
         """Keeps a connection for the next exchange."""
         now_s = self._clock.monotonic_s()
-        self._idle.append(_Idle(connection, now_s))
+        self._idle.append(_IdleConnection(connection, now_s))
 
     @property
     def has_idle(self) -> bool:
-        """Whether a kept connection is likely to be free for a request."""
+        """Whether an idle connection is likely to be available."""
         return bool(self._idle)
 
     @property
     def has_open_connection(self) -> bool:
-        """Whether a kept connection has not been closed by the other side."""
+        """Whether an idle connection has not been closed by the server."""
         return any(idle.connection.usable for idle in self._idle)
 
     def prefer_verified(self, known_s: float) -> bool:
-        """Lets the next exchange go by a connection that is vouched for.
+        """Makes the next exchange use a verified connection.
 
         Args:
-            known_s: One that was opened before needs nobody to vouch for it.
+            known_s: A connection opened before this time needs no verification.
 
         Returns:
-            Whether there is one.
+            Whether there is such a connection.
         """
         now_s = self._clock.monotonic_s()
         for index in reversed(range(len(self._idle))):
@@ -384,14 +390,14 @@
     async def exchange_on_new_connection(
         self, request: bytes, accepts: Accepts, may_send: MaySend = _always
     ) -> Result:
-        """Sends one request by a new connection, and vouches for it.
+        """Sends one request on a new connection and marks it as verified.
 
-        If it was answered, the next exchange goes by the same connection.
+        If it was answered, the next exchange uses the same connection.
 
         Args:
-            request: What is written.
-            accepts: Tells whether an answer belongs to it.
-            may_send: Asked once there is a connection.
+            request: The bytes to write.
+            accepts: Returns whether an answer belongs to the request.
+            may_send: Called once there is a connection.
         """
         opened = await self._open()
         if isinstance(opened, Unsent):
@@ -412,7 +418,7 @@
         return Broken("the connection was not kept")
 
     async def connect(self) -> Unsent | None:
-        """Makes a connection and keeps it; returns why there is none."""
+        """Opens a connection and keeps it; returns why it failed, or None."""
         opened = await self._open()
         if isinstance(opened, Unsent):
             return opened
@@ -420,7 +426,7 @@
         return None
 
     def close(self) -> None:
-        """Closes the idle connections."""
+        """Closes all idle connections."""
         for idle in self._idle:
             idle.connection.abort()
         self._idle.clear()
@@ -436,21 +442,21 @@
                 idle.connection.abort()
         self._idle = kept
 
-    def _drop_idle_since(self, time_s: float) -> None:
-        """Closes connections that have not been used since a time."""
+    def _close_idle_since(self, time_s: float) -> None:
+        """Closes connections that have been idle since a time or longer."""
         kept = [idle for idle in self._idle if idle.since_s > time_s]
         for idle in self._idle:
             if idle.since_s <= time_s:
                 idle.connection.abort()
         self._idle = kept
 
-    def _is_fresh(self, idle: _Idle, now_s: float) -> bool:
-        """Whether a connection may carry another request."""
+    def _is_fresh(self, idle: _IdleConnection, now_s: float) -> bool:
+        """Whether a connection may be used for another request."""
         age_s = now_s - idle.since_s
         return idle.connection.usable and age_s < idle.connection.idle_limit_s
 
-    def _take_idle(self) -> _Idle | None:
-        """Returns the connection that was used last, if one is fresh."""
+    def _take_idle(self) -> _IdleConnection | None:
+        """Returns the most recently used connection that is still usable."""
         now_s = self._clock.monotonic_s()
         while self._idle:
             idle = self._idle.pop()
@@ -460,7 +466,7 @@
         return None
 
     async def _open(self) -> _Connection | Unsent:
-        """Connects."""
+        """Opens a connection."""
         loop = asyncio.get_running_loop()
         opened_s = self._clock.monotonic_s()
         self.opened_count += 1
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -1,10 +1,11 @@
-"""One instance reads the log and tells the others what they lack.
-
-The leader speaks to each instance after each read of the list of servers. An
-answer says up to where the receiver knows the topics, if it knows less; the
-next word starts there. It also says what the receiver knows of topics that the
-leader cannot read. So a word that is lost costs nothing but time, and what one
-instance knows that leads or follows, all know.
+"""The leader reads the platform's log and relays changes to other instances.
+
+After each read of the list of servers, the leader sends a relay message to
+every instance. If the receiver knows less of the topics than the leader
+assumed, its answer contains its offsets, and the next message starts there. The
+answer also contains what the receiver knows of topics that the leader cannot
+read. So a lost message only costs time, and whatever the leader or a follower
+knows reaches all instances.
 """
 
 from collections.abc import Callable
@@ -26,134 +27,135 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """How the leader speaks to the others."""
+    """Settings for the leader's relay messages."""
 
-    # The leader speaks after each read of the list; this is only how long it
-    # waits for one. Its word is its heartbeat, and others claim after 1.1 s
-    # without it.
+    # The leader sends after each read of the list of servers, or after this
+    # time without one. The message is also its heartbeat: others claim the lead
+    # after 1.1 s without it.
     wait_s: float = 0.7
-    # Of how many others the leader asks at a time what they know of topics
-    # that it cannot read: two thirds of them are likely to know, and answers of
-    # all of them at once would fill its link.
+    # How many instances the leader asks at a time for topics that it cannot
+    # read. Two thirds of them are likely to know, and answers of all of them at
+    # once would saturate its link.
     polled_count: int = 4
-    # What is longer goes out beside the regular words, so that one instance
-    # on a weak link does not hold up the next word to all: 60 KB take 0.1 s
-    # at 5 Mbit/s.
+    # Longer messages are sent in a task of their own, so that one instance on a
+    # slow link does not delay the next message to all: 60 KB take 0.1 s at
+    # 5 Mbit/s.
     message_max_bytes: int = 60_000
 
 
-_NO_VOICE = peers.Reception.ENDED
-"""What an instance counts as that has just started: its earlier run, which may
-have followed a later leader, has ended, and this one follows nobody else."""
+_COUNTS_AS_ENDED = peers.Reception.ENDED
+"""How an instance that has just started is counted: its earlier run, which may
+have followed a later leader, has ended, and its new run follows nobody else."""
 
 
-class _Word(NamedTuple):
-    """A message as it goes to all that know the same."""
+class _EncodedRelay(NamedTuple):
+    """A message for all instances that know the same offsets."""
 
     encoded: bytes
-    # Up to where a receiver knows the topics once it has taken it.
+    # The offsets up to which a receiver knows the topics afterwards.
     offsets: cluster_state.Offsets
-    # When it was written, on the steady clock.
+    # When it was encoded, on the monotonic clock.
     written_s: float
 
 
-class _Heard(NamedTuple):
+class _LastAnswer(NamedTuple):
     """The last answer of an instance."""
 
     stamp: peers.Stamp
-    # When it came, on the steady clock.
-    came_s: float
+    # When it arrived, on the monotonic clock.
+    received_s: float
 
 
 class Relayer:
-    """Tells the other instances what was read, and hears what is told."""
+    """Sends changes to the other instances, and receives theirs."""
 
     def __init__(
         self,
         settings: RelaySettings,
-        held: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         lead: leadership.Leadership,
         client: peers.PeerClient,
-        news: poison_broadcast.PoisonBroadcaster,
+        poison_broadcaster: poison_broadcast.PoisonBroadcaster,
         addresses: Callable[[], tuple[model.Address, ...]],
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Has spoken to nobody.
+        """Creates a relayer that has sent nothing yet.
 
         Args:
-            settings: How often to speak.
-            held: What this instance knows.
-            lead: Whether it is for this one to speak.
+            settings: Settings for the relay messages.
+            state: What this instance knows of the topics.
+            lead: Tells whether this instance leads.
             client: Calls other instances.
-            news: Compared with those who take a word.
-            addresses: Where they listen.
-            journal: Told who has to be told more.
-            clock: For when words were sent.
+            poison_broadcaster: Reconciles poison requests with the receivers.
+            addresses: Returns the addresses of the other instances.
+            journal: Logs which instances had to catch up.
+            clock: The time source.
         """
         # Whether another instance should lead.
         self.resigns = False
         self._settings = settings
-        self._beliefs = held
+        self._state = state
         self._leadership = lead
         self._client = client
-        self._news = news
+        self._poison_broadcaster = poison_broadcaster
         self._addresses = addresses
         self._journal = journal
         self._clock = clock
-        # Up to where the others know the topics, by their last answers.
-        self._known: dict[model.Address, cluster_state.Offsets] = {}
-        # Those that are being told what was too long for a word.
+        # The offsets that the others know, by their last answers.
+        self._known_offsets: dict[model.Address, cluster_state.Offsets] = {}
+        # Instances that are being sent changes too long for a regular message.
         self._catching_up: set[model.Address] = set()
-        # Who was asked last what the others know.
-        self._asked_last = 0
-        # By which the others know how old the next word is.
-        self._heard: dict[model.Address, _Heard] = {}
-        # Names this process to those that return its answers.
-        self._life = secrets.randbits(63)
+        # The index of the next instance to ask for topics.
+        self._next_polled = 0
+        # The last answers; returned to their senders, who compute from them how
+        # old the next message is.
+        self._last_answers: dict[model.Address, _LastAnswer] = {}
+        # Identifies this process in the answers that others return to it.
+        self._process_id = secrets.randbits(63)
 
     async def run(self) -> None:
-        """Speaks while this instance leads, until cancelled."""
+        """Sends relay messages while this instance leads, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            told_count = 0
+            sent_update_count = 0
             while True:
-                # What comes while words are under way waits for no other news.
-                if self._beliefs.updated.count == told_count:
-                    await self._beliefs.updated.wait(self._settings.wait_s)
-                told_count = self._beliefs.updated.count
+                # An update during the last broadcast is sent without waiting.
+                if self._state.updated.count == sent_update_count:
+                    await self._state.updated.wait(self._settings.wait_s)
+                sent_update_count = self._state.updated.count
                 if not self._leadership.is_leader:
-                    self._known.clear()
-                elif self._beliefs.is_complete:
+                    self._known_offsets.clear()
+                elif self._state.is_complete:
                     await self.broadcast(tasks)
 
     async def broadcast(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Speaks to every instance once, and counts who follows.
+        """Sends one message to every instance, and counts the followers.
 
         Args:
-            tasks: Where those are told more that lack more.
+            tasks: Runs the tasks that let lagging instances catch up.
         """
         claim = self._leadership.claim
         sent_s = self._clock.monotonic_s()
         received: list[peers.Reception] = []
-        words: dict[tuple[cluster_state.Offsets, bool], _Word] = {}
-        asked = self._choose_asked()
-
-        async def tell_one(peer: model.Address) -> None:
-            known = self._known.get(peer, self._beliefs.offsets())
-            kind = (known, peer in asked)
-            if kind not in words:
-                words[kind] = self._make_word(known, asks=peer in asked)
-            answer = await self._send(peer, words[kind])
+        messages: dict[tuple[cluster_state.Offsets, bool], _EncodedRelay] = {}
+        polled = self._choose_polled()
+
+        async def send_to(peer: model.Address) -> None:
+            known = self._known_offsets.get(peer, self._state.offsets())
+            variant = (known, peer in polled)
+            if variant not in messages:
+                messages[variant] = self._make_relay(known, asks=peer in polled)
+            answer = await self._send(peer, messages[variant])
             received.append(
-                answer.reception if answer.reply.counts else _NO_VOICE
+                answer.reception if answer.reply.counts else _COUNTS_AS_ENDED
             )
             if answer.reply.offsets:
                 tasks.start_soon(self._catch_up, peer)
 
         async with anyio.create_task_group() as calls:
             for peer in self._addresses():
-                calls.start_soon(tell_one, peer)
-        told = leadership.RelayRound(
+                calls.start_soon(send_to, peer)
+        relay_round = leadership.RelayRound(
             claim.term,
             sent_s,
             peers=len(received),
@@ -161,137 +163,143 @@
             ended=received.count(peers.Reception.ENDED),
             disputed=peers.Reception.DISPUTED in received,
         )
-        if self._knows_whom_to_count(told):
-            self._leadership.note_relay_round(told)
+        if self._can_count_majority(relay_round):
+            self._leadership.note_relay_round(relay_round)
 
-    def _knows_whom_to_count(self, told: leadership.RelayRound) -> bool:
-        """Whether those that were told are all there are, as far as needed.
+    def _can_count_majority(self, relay_round: leadership.RelayRound) -> bool:
+        """Whether the receivers include all instances that count.
 
-        One that has not read who the others are counts no majority, and one
-        that knows of nobody else does so only while it sees the list: others
-        may have listed themselves, and follow another leader.
+        An instance that has not read the list of instances cannot count a
+        majority. One that knows of no other instance can do so only while it
+        can read the list: others may have been added to it since and follow
+        another leader.
         """
-        if told.peers:
-            return self._beliefs.knows_instances
-        return not self._beliefs.instances_are_lost
+        if relay_round.peers:
+            return self._state.knows_instances
+        return not self._state.instances_are_lost
 
     def receive(
         self, relay: peers.Relay, echo: peers.Echo | None
     ) -> peers.RelayReply | None:
-        """Takes another instance's word; returns the answer.
+        """Applies a message of another instance, and returns the answer.
 
         Args:
-            relay: The word.
-            echo: The last answer that its sender had from this address.
+            relay: The message.
+            echo: The last answer that its sender received from this address.
 
         Returns:
-            None if the word does not count, since a later leader is known.
+            None if the message is ignored, as a later leader is known.
         """
-        counts = self._leadership.handle_heartbeat(
+        is_accepted = self._leadership.handle_heartbeat(
             relay.claim, log_lost=relay.log_lost, resigns=relay.resigns
         )
-        if not counts:
+        if not is_accepted:
             return None
-        self._beliefs.apply_relayed(relay.batches, self._delay_s(echo))
-        is_behind = self._beliefs.is_behind(relay.batches)
+        self._state.apply_relayed(relay.batches, self._max_delay_s(echo))
+        is_behind = self._state.is_behind(relay.batches)
         return peers.RelayReply(
-            self._beliefs.offsets() if is_behind else (),
-            self._beliefs.changes_for_lost_topics(relay.batches)
+            self._state.offsets() if is_behind else (),
+            self._state.changes_for_lost_topics(relay.batches)
             if relay.asks
             else (),
             self._leadership.knows_claims,
-            peers.Stamp(self._life, self._clock.monotonic_s()),
-            self._news.digest,
+            peers.Stamp(self._process_id, self._clock.monotonic_s()),
+            self._poison_broadcaster.digest,
         )
 
-    def _delay_s(self, echo: peers.Echo | None) -> float | None:
-        """Returns for how long a word was under way at the most.
+    def _max_delay_s(self, echo: peers.Echo | None) -> float | None:
+        """Returns an upper bound of the time since a message was written.
 
-        A host that stood still, or a link, may have held it up for any time.
-        None if that is not known: a leader's first word may be of any age.
+        A suspended host or a slow link may have delayed it for any time. None
+        if there is no bound: a leader's first message may be of any age.
         """
-        if echo is None or echo.stamp.life != self._life:
+        if echo is None or echo.stamp.life != self._process_id:
             return None
         written_s = echo.stamp.answered_s + echo.since_s
         return self._clock.monotonic_s() - written_s
 
-    def _choose_asked(self) -> set[model.Address]:
-        """Returns whom to ask, in turn, for what this instance cannot read."""
+    def _choose_polled(self) -> set[model.Address]:
+        """Returns the next instances to ask for topics not readable here."""
         addresses = self._addresses()
-        if not addresses or not self._beliefs.has_lost_a_topic:
+        if not addresses or not self._state.has_lost_a_topic:
             return set()
         count = min(self._settings.polled_count, len(addresses))
-        first = self._asked_last
-        self._asked_last = (first + count) % len(addresses)
+        first = self._next_polled
+        self._next_polled = (first + count) % len(addresses)
         return {addresses[(first + n) % len(addresses)] for n in range(count)}
 
-    def _make_word(self, known: cluster_state.Offsets, *, asks: bool) -> _Word:
-        """Returns the word for those that know the topics so far.
+    def _make_relay(
+        self, known: cluster_state.Offsets, *, asks: bool
+    ) -> _EncodedRelay:
+        """Returns the message for instances that know the given offsets.
 
-        One that would be too long holds nothing but the offsets: whoever knows
-        less answers so, and is told the rest beside the words.
+        A message that would be too long contains only the current offsets:
+        receivers that know less answer with theirs, and are sent the missing
+        changes separately.
         """
-        word = self._encode(known, asks=asks)
-        if len(word.encoded) <= self._settings.message_max_bytes:
-            return word
-        return self._encode(self._beliefs.offsets(), asks=asks)
+        message = self._encode_changes(known, asks=asks)
+        if len(message.encoded) <= self._settings.message_max_bytes:
+            return message
+        return self._encode_changes(self._state.offsets(), asks=asks)
 
-    def _encode(
+    def _encode_changes(
         self, known: cluster_state.Offsets, *, asks: bool = False
-    ) -> _Word:
-        """Returns all that is to be told to those that know so far."""
+    ) -> _EncodedRelay:
+        """Returns a message with all changes since the given offsets."""
         relay = peers.Relay(
             self._leadership.claim,
             asks,
             self.resigns,
-            self._beliefs.list_is_lost,
-            self._beliefs.changes_since(known),
+            self._state.list_is_lost,
+            self._state.changes_since(known),
         )
-        return _Word(
+        return _EncodedRelay(
             peers.encode_relay(relay),
-            self._beliefs.offsets(),
+            self._state.offsets(),
             self._clock.monotonic_s(),
         )
 
     async def _send(
-        self, peer: model.Address, word: _Word
+        self, peer: model.Address, message: _EncodedRelay
     ) -> peers.RelayAnswer:
-        """Sends a word, and keeps up to where its receiver knows."""
-        echo = self._make_echo(peer, word.written_s)
-        answer = await self._client.relay(peer, word.encoded, echo)
+        """Sends a message, and stores the offsets that its receiver knows."""
+        echo = self._make_echo(peer, message.written_s)
+        answer = await self._client.relay(peer, message.encoded, echo)
         if answer.reply.stamp is not None:
-            came_s = self._clock.monotonic_s()
-            self._heard[peer] = _Heard(answer.reply.stamp, came_s)
+            received_s = self._clock.monotonic_s()
+            self._last_answers[peer] = _LastAnswer(
+                answer.reply.stamp, received_s
+            )
         if answer.reception is peers.Reception.ACCEPTED:
-            self._known[peer] = answer.reply.offsets or word.offsets
-            self._beliefs.apply_from_follower(answer.reply.batches)
-            self._news.reconcile(peer, answer.reply.poison_digest)
+            self._known_offsets[peer] = answer.reply.offsets or message.offsets
+            self._state.apply_from_follower(answer.reply.batches)
+            self._poison_broadcaster.reconcile(peer, answer.reply.poison_digest)
         return answer
 
     def _make_echo(
         self, peer: model.Address, written_s: float
     ) -> peers.Echo | None:
-        """Returns an instance's last answer; None if there is none."""
-        heard = self._heard.get(peer)
-        if heard is None:
+        """Returns an instance's last answer and its age; None if none."""
+        last_answer = self._last_answers.get(peer)
+        if last_answer is None:
             return None
-        return peers.Echo(heard.stamp, written_s - heard.came_s)
+        return peers.Echo(last_answer.stamp, written_s - last_answer.received_s)
 
     async def _catch_up(self, peer: model.Address) -> None:
-        """Tells one instance at once all that it lacks."""
+        """Sends one instance all changes that it lacks, whatever their size."""
         if peer in self._catching_up:
             return
         self._catching_up.add(peer)
         try:
-            known = self._known.get(peer, ())
-            word = self._encode(known)
-            answer = await self._send(peer, word)
+            known = self._known_offsets.get(peer, ())
+            message = self._encode_changes(known)
+            answer = await self._send(peer, message)
             self._journal.decision(
                 "peer_caught_up",
                 address=str(peer),
                 known=dict(known),
                 reception=answer.reception.value,
-                sent_bytes=len(word.encoded),
+                sent_bytes=len(message.encoded),
             )
         finally:
             self._catching_up.discard(peer)
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_selection.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_selection.py
@@ -1,4 +1,4 @@
-"""Which servers may serve a request, and which of them would do so soonest."""
+"""Selects the servers that may serve a request, and the fastest of them."""
 
 from collections.abc import Container
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SelectionSettings:
-    """How servers are weighed against each other."""
+    """Settings for how servers are compared."""
 
-    # The share by which a server looks slower that a connection must first be
-    # made to. It costs 1 ms of a slot and a price; among many servers each
-    # instance so keeps to some, and others to others.
+    # By how much the estimated cost of a server rises if a connection to it
+    # must be opened first. Opening one takes 1 ms of a slot and has a price.
+    # Among many servers, this makes each instance prefer a subset of its own.
     connect_penalty_ratio: float = 0.25
 
 
@@ -32,14 +32,14 @@
         client: attempts.BackendClient,
         clock: clocks.Clock,
     ) -> None:
-        """Keeps nothing of its own.
+        """Creates a selector, which is stateless.
 
         Args:
-            settings: How servers are weighed.
-            instance: This instance.
-            book: The servers, and what was seen of them.
-            client: Knows which of them are connected.
-            clock: For what is over.
+            settings: How servers are compared.
+            instance: The settings of this instance.
+            book: The known servers and the observations of them.
+            client: Knows which servers have open connections.
+            clock: The time source.
         """
         self._settings = settings
         self._instance = instance
@@ -57,7 +57,7 @@
     ) -> list[servers_lib.Server]:
         """Returns the servers that a request without a key may be sent to.
 
-        Cold ones are among them, which only a permit leads to.
+        This includes cold servers, for which a permit is required.
         """
         now_s = self._clock.monotonic_s()
         return [
@@ -67,10 +67,10 @@
             and self.is_allowed(route, server.listed.failure_domain)
         ]
 
-    def list_awake(
+    def exclude_backoffs(
         self, servers: Sequence[servers_lib.Server]
     ) -> list[servers_lib.Server]:
-        """Returns those servers that do not want to be left alone."""
+        """Returns the servers that have not asked for a backoff."""
         notices = self._book.notices
         if not notices.any_wants_backoff:
             return list(servers)
@@ -78,22 +78,22 @@
             s for s in servers if not notices.wants_backoff(s.listed.server_id)
         ]
 
-    def list_with_room(
+    def exclude_overloaded(
         self,
         servers: Sequence[servers_lib.Server],
         shed_by: ids.ServerId | None,
     ) -> list[servers_lib.Server]:
-        """Returns those servers that did not just say that they have no room.
+        """Returns the servers that have not just reported an overload.
 
         Args:
-            servers: Those that may be used.
-            shed_by: Which one has just turned the request away.
+            servers: The usable servers.
+            shed_by: The server that has just rejected the request, if any.
         """
-        awake = self.list_awake(servers)
-        return [s for s in awake if s.listed.server_id != shed_by]
+        available = self.exclude_backoffs(servers)
+        return [s for s in available if s.listed.server_id != shed_by]
 
-    def resting_ids(self, service: ids.ServiceName) -> set[ids.ServerId]:
-        """Returns which servers of a service want to be left alone."""
+    def ids_in_backoff(self, service: ids.ServiceName) -> set[ids.ServerId]:
+        """Returns the servers of a service that asked for a backoff."""
         notices = self._book.notices
         if not notices.any_wants_backoff:
             return set()
@@ -102,18 +102,18 @@
         return set(filter(notices.wants_backoff, known))
 
     def backoff_left_s(self, servers: Sequence[servers_lib.Server]) -> float:
-        """Returns how long until the first of some servers has rested."""
+        """Returns the time until the first of the servers' backoffs is over."""
         backoff_left_s = self._book.notices.backoff_left_s
         return min(
             (backoff_left_s(s.listed.server_id) for s in servers), default=0
         )
 
     def are_cold(self, servers: Sequence[servers_lib.Server]) -> bool:
-        """Whether there are servers, all of them cold."""
+        """Whether there is at least one server and all of them are cold."""
         return bool(servers) and all(map(self._book.is_cold, servers))
 
     def warm_in_s(self, servers: Sequence[servers_lib.Server]) -> float:
-        """Returns how long until the first of some cold servers is warm."""
+        """Returns the time until the first of some cold servers is warm."""
         now_s = self._clock.monotonic_s()
         warm_s = min((s.cold_until_s for s in servers), default=now_s)
         return max(warm_s - now_s, 0.0)
@@ -123,25 +123,27 @@
         servers: Sequence[servers_lib.Server],
         tried: Container[ids.ServerId],
     ) -> servers_lib.Server | None:
-        """Returns the server that would answer soonest; None if all are cold.
+        """Returns the server with the lowest cost; None if all are cold.
 
         Args:
-            servers: Those that may be used.
-            tried: Those that the request was sent to before.
+            servers: The usable servers.
+            tried: The servers that the request has been sent to.
         """
         now_s = self._clock.monotonic_s()
         warm = [s for s in servers if not self._book.is_cold(s)]
         staying = [s for s in warm if self._book.is_staying(s, now_s)]
-        pool = staying or warm
-        ready = [s for s in pool if s.paused_until_s <= now_s]
-        pool = ready or pool
-        fresh = [s for s in pool if s.listed.server_id not in tried]
+        candidates = staying or warm
+        ready = [s for s in candidates if s.paused_until_s <= now_s]
+        candidates = ready or candidates
+        untried = [s for s in candidates if s.listed.server_id not in tried]
         return min(
-            fresh or pool, key=lambda s: self._cost_s(s, now_s), default=None
+            untried or candidates,
+            key=lambda s: self._cost_s(s, now_s),
+            default=None,
         )
 
     def _cost_s(self, server: servers_lib.Server, now_s: float) -> float:
-        """Returns how dear a request at a server would be, as a time."""
+        """Returns the estimated cost of a request at a server, as a time."""
         cost_s = server.cost_s(self._instance.failure_domain, now_s)
         if not self._client.is_connected(server.listed):
             cost_s *= 1.0 + self._settings.connect_penalty_ratio
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -84,8 +84,8 @@
         server = support.make_server(f"s{number}")
         heard.record(server, attempts.Notice(is_leaving=True, backoff_s=0.001))
     assert heard.leaving_count == 10
-    assert len(heard._rest_until_s) == 10
-    assert ids.ServerId("s49") in heard._leaving_told_s
+    assert len(heard._backoff_until_s) == 10
+    assert ids.ServerId("s49") in heard._leaving_since_s
 
 
 DRAIN_S = support.BOUNDS.drain_ms / 1_000
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -226,7 +226,7 @@
     other = scene.others[0]
     for _ in range(2):
         await scene.leader.tell()
-    word = scene.leader.relayer._make_word(
+    word = scene.leader.relayer._make_relay(
         scene.leader.reader.beliefs.offsets(), asks=True
     )
     envelope = peers._ENVELOPES.encode(peers._Envelope(None, word.encoded))
@@ -234,7 +234,7 @@
     answer = peers._REPLIES.decode(reply.body)
     assert reply.status == 200
     assert (answer.offsets, answer.batches, answer.counts) == ((), (), True)
-    assert answer.stamp.life == other.relayer._life
+    assert answer.stamp.life == other.relayer._process_id
     # It goes between failure domains after each word.
     assert len(reply.body) <= 25
 
@@ -254,7 +254,7 @@
         ),
     )
     now_s = clock.SystemClock().monotonic_s()
-    stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
+    stamp = peers.Stamp(life or other.relayer._process_id, now_s - late_s - 0.5)
     other.relayer.receive(relay, peers.Echo(stamp, 0.5))
     return follower.age_s
 
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -165,7 +165,7 @@
     put = servers.ServerRegistry.put
 
     def undo(self, listed):
-        self.notices._leaving_told_s.pop(listed.server_id, None)
+        self.notices._leaving_since_s.pop(listed.server_id, None)
         put(self, listed)
 
     return mock.patch.object(servers.ServerRegistry, "put", undo)
