--- a/libs/bridgecross-entry/src/bridgecross_entry/peers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/peers.py
@@ -1,8 +1,8 @@
-"""What instances tell one another, as deflated MessagePack over HTTP.
+"""Messages between instances, as deflated MessagePack over HTTP.
 
-The coordinator of a service hears of load, and tells of new key maps and of
-moves that have ended. All of it only speeds things up: the log says the same
-later, but for the load.
+The coordinator of a service receives load reports, and sends new key maps and
+completed moves. Except for load, these messages only speed things up: the same
+information follows from the log later.
 """
 
 from collections.abc import Callable
@@ -25,11 +25,12 @@
 from bridgecross_entry import model
 
 _DEFLATE_LEVEL = 1
-"""Level 1 makes a key map half and a configuration a tenth as long, in 20 us a
-kilobyte. Bytes between failure domains are priced, and one goes to all."""
+"""Level 1 compresses a key map to one half and a configuration to a tenth of
+its size, in 20 us per kilobyte. Traffic between failure domains is charged, and
+each message goes to all instances."""
 
 _BODY_MAX_BYTES = 16 * 1024 * 1024
-"""Of a message once inflated; all that is known with 5,000 servers has 2 MB."""
+"""The largest inflated message; the full state with 5,000 servers has 2 MB."""
 
 _HTTP_OK = 200
 _HTTP_CONFLICT = 409
@@ -40,7 +41,7 @@
 
 
 class Settled(NamedTuple):
-    """The owner of a range is known to hold it."""
+    """A completed move: the owner of the range is known to hold it."""
 
     service: ids.ServiceName
     token: int
@@ -48,53 +49,54 @@
 
 
 class Relay(NamedTuple):
-    """What the instance that reads the log for all has read.
+    """What the leader, which reads the log for all instances, has read.
 
-    It comes at short intervals also when nothing changed, since it says that
-    what the receiver believes is up to date.
+    It is sent at short intervals even if nothing changed, since it confirms
+    that the receiver's state is up to date.
     """
 
-    # Under which claim the sender leads.
+    # The claim under which the sender leads.
     claim: leadership.Claim
-    # Whether the receiver shall answer what it knows beyond the sender of
-    # topics that the sender cannot read.
-    asks: bool
-    # Whether the sender leaves, so that another one should lead.
+    # Whether the receiver should reply with what it knows beyond the sender
+    # about topics that the sender cannot read.
+    wants_batches: bool
+    # Whether the sender is stopping, so that another instance should lead.
     resigns: bool
-    # Whether the sender has lost the list of servers in the log.
+    # Whether the sender cannot read the list of servers from the log.
     log_lost: bool
-    # What the receiver lacks of each topic, which may be nothing.
+    # What the receiver lacks of each topic; may be empty.
     batches: tuple[followers.TopicBatch, ...]
 
 
 class Stamp(NamedTuple):
-    """When an instance answered, by a clock that only it can read."""
+    """When an instance answered, by its own monotonic clock."""
 
-    # Names its process: the next one at its address has another clock.
-    life: int
-    # On its steady clock.
+    # Identifies its process, since the next one at its address has another
+    # clock.
+    process_id: int
+    # On its monotonic clock.
     answered_s: float
 
 
 class Echo(NamedTuple):
-    """A receiver's last answer, returned to it with the next word.
+    """The stamp of a receiver's last answer, returned with the next relay.
 
-    By it the receiver knows for how long the word was under way at the most,
-    though no clock is shared: it was written some time after the answer came,
-    and the answer came after it was given.
+    It gives the receiver an upper bound on the age of the relay, although no
+    clock is shared: the relay was written a known time after the answer
+    arrived, and the answer arrived after it was sent.
     """
 
     stamp: Stamp
-    # From when the answer came until the word was written.
-    since_s: float
+    # The time from the arrival of the answer until the relay was written.
+    elapsed_s: float
 
 
 class _Envelope(NamedTuple):
-    """A word as it goes to one receiver."""
+    """A relay as sent to one receiver."""
 
     # None if nothing is known of the receiver's clock.
     echo: Echo | None
-    # Deflated, the same for all that know the same.
+    # Deflated; shared by all receivers that lack the same.
     relay: bytes
 
 
@@ -107,28 +109,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """How peers are called."""
+    """Timeouts and pauses of calls to peers."""
 
-    # A peer answers in 2 ms; one that needs longer is busy or away, and what
-    # it missed it reads from the log.
+    # A peer answers in 2 ms; one that takes longer than this is overloaded or
+    # unreachable, and reads what it missed from the log.
     timeout_s: float = 0.4
-    # What a message's length adds to that: half of the weakest link seen, of
-    # 5 Mbit/s.
+    # The timeout grows with the length of a message, by this rate: half of the
+    # slowest link seen, of 5 Mbit/s.
     min_bytes_per_s: float = 300_000.0
-    # A peer is not called for this long after it did not answer.
+    # The pause after a peer did not answer.
     pause_s: float = 1.0
-    # That a peer did not answer says nothing once it has not been called for
-    # this long. A leader calls each every 0.7 s, or 1.0 s and a timeout after
-    # one that failed; an instance that begins to lead may have called it last
-    # long ago.
-    lost_evidence_s: float = 3.0
+    # A failed call is no evidence any more once the peer has not been called
+    # for this long. A leader calls each peer every 0.7 s, or 1.0 s plus a
+    # timeout after a failed call; an instance that begins to lead may have made
+    # its last call long ago.
+    failure_evidence_s: float = 3.0
 
 
 class Reception(enum.Enum):
-    """What became of a message to a peer."""
+    """How a peer received a message."""
 
     ACCEPTED = "accepted"
-    """The peer took it."""
+    """The peer accepted it."""
 
     DISPUTED = "disputed"
     """The peer knows of a later leader."""
@@ -137,45 +139,45 @@
     """No process listens at the address."""
 
     UNKNOWN = "unknown"
-    """No usable answer came, or the peer is left alone for a moment."""
+    """No usable answer came, or calls to the peer are paused."""
 
 
-class _Answer(NamedTuple):
-    """What came of a message, and what the peer said to it."""
+class _CallResult(NamedTuple):
+    """The result of a call, with the body of the answer."""
 
     reception: Reception
     body: bytes = b""
 
 
 class RelayReply(NamedTuple):
-    """What the receiver of the leader's word answers."""
+    """The answer to a relay."""
 
-    # Up to where it knows the topics, if it knows less than it was told of;
-    # else nothing.
+    # The offsets up to which the receiver knows the topics, if it knows less
+    # than the relay announced; else empty.
     offsets: cluster_state.Offsets = ()
-    # What it knows beyond the leader of topics that the leader cannot read.
+    # What it knows beyond the leader about topics that the leader cannot read.
     batches: tuple[followers.TopicBatch, ...] = ()
-    # Whether it counts for a majority.
-    counts: bool = True
-    # When it was given; None if it was not.
+    # Whether the receiver counts for a majority.
+    counts_for_majority: bool = True
+    # When it was sent; None without an answer.
     stamp: Stamp | None = None
-    # Sums up which requests servers ended under, as far as it knows.
+    # A digest of the requests under which servers ended, as far as known there.
     poison_digest: int = 0
 
 
 _REPLIES = codec.Codec(RelayReply)
-_NOTHING = RelayReply()
+_EMPTY_REPLY = RelayReply()
 
 
-class RelayAnswer(NamedTuple):
-    """What came of the leader's word at one instance."""
+class RelayResult(NamedTuple):
+    """The result of sending a relay to one instance."""
 
     reception: Reception
-    reply: RelayReply = _NOTHING
+    reply: RelayReply = _EMPTY_REPLY
 
 
 Connect = Callable[[model.Address], exchange.Exchanger]
-"""Returns the way to another instance."""
+"""Connects to another instance."""
 
 
 class PeerClient:
@@ -188,13 +190,13 @@
         clock: clocks.Clock,
         connect: Connect | None = None,
     ) -> None:
-        """Connects to nobody yet.
+        """Does not connect yet.
 
         Args:
-            settings: How peers are called.
-            journal: Told of peers that do not answer.
-            clock: For pauses.
-            connect: The way to an address; by HTTP, if left out.
+            settings: Timeouts and pauses.
+            journal: Records peers that do not answer.
+            clock: Measures pauses.
+            connect: Connects to an address; by HTTP, if omitted.
         """
         self._settings = settings
         self._journal = journal
@@ -202,26 +204,26 @@
         self._connect = connect or self._make_pool
         self._pools: dict[model.Address, exchange.Exchanger] = {}
         self._paused_until_s: dict[model.Address, float] = {}
-        # Since when a peer has not answered, and when that was last found.
-        self._lost_since_s: dict[model.Address, float] = {}
-        self._found_lost_s: dict[model.Address, float] = {}
+        # Since when a peer has not answered, and when its last call failed.
+        self._unresponsive_since_s: dict[model.Address, float] = {}
+        self._last_failure_s: dict[model.Address, float] = {}
 
     async def report_load(
         self, address: model.Address, report: load.LoadReport
     ) -> None:
-        """Tells a coordinator of load."""
+        """Sends a load report to a coordinator."""
         await self._call(address, _LOAD_PATH, _deflate(_LOADS.encode(report)))
 
     async def relay(
         self, address: model.Address, relay: bytes, echo: Echo | None
-    ) -> RelayAnswer:
-        """Tells a peer what was read; see ``encode_relay``."""
+    ) -> RelayResult:
+        """Sends a relay to a peer; see ``encode_relay``."""
         envelope = _ENVELOPES.encode(_Envelope(echo, relay))
         answer = await self._call(address, _RELAY_PATH, envelope)
         if not answer.body:
-            return RelayAnswer(answer.reception)
+            return RelayResult(answer.reception)
         try:
-            return RelayAnswer(answer.reception, _REPLIES.decode(answer.body))
+            return RelayResult(answer.reception, _REPLIES.decode(answer.body))
         except codec.CodecError as error:
             self._journal.decision(
                 "peer_message_unreadable",
@@ -229,26 +231,27 @@
                 address=str(address),
                 reason=str(error),
             )
-            return RelayAnswer(Reception.UNKNOWN)
+            return RelayResult(Reception.UNKNOWN)
 
     async def push_map(self, address: model.Address, key_map: bytes) -> None:
-        """Tells a peer of a new key map; see ``encode_map``."""
+        """Sends a new key map to a peer; see ``encode_map``."""
         await self._call(address, _MAP_PATH, key_map)
 
     async def push_settled(
         self, address: model.Address, settled: tuple[Settled, ...]
     ) -> None:
-        """Tells a peer of moves that have ended."""
+        """Notifies a peer of completed moves."""
         body = _deflate(_SETTLED.encode(settled))
         await self._call(address, _SETTLED_PATH, body)
 
     async def post_urgent(
         self, address: model.Address, path: bytes, body: bytes, timeout_s: float
     ) -> bytes | None:
-        """Posts a message that cannot wait; None if no usable answer comes.
+        """Posts an urgent message; returns None without a usable answer.
 
-        It is sent also to one that is left alone for a moment, and says nothing
-        of whether that one is lost: the time may be too short for any answer.
+        It is sent even while calls to the peer are paused. A failure does not
+        count as evidence that the peer is unresponsive, since the timeout may
+        be too short for any answer.
         """
         result: exchange.Result = exchange.Broken("no answer in time")
         with timeouts.move_on_after(timeout_s, self._clock):
@@ -260,44 +263,47 @@
     def unresponsive_for_s(self, address: model.Address) -> float:
         """Returns for how long a peer has not answered.
 
-        0 if it does, and if it has not been called for long.
+        Returns 0 if it answers, or if it has not been called for a long time.
         """
         now_s = self._clock.monotonic_s()
-        if not self._is_known_lost(address, now_s):
+        if not self._is_known_unresponsive(address, now_s):
             return 0.0
-        return now_s - self._lost_since_s[address]
+        return now_s - self._unresponsive_since_s[address]
 
-    def _is_known_lost(self, address: model.Address, now_s: float) -> bool:
-        """Whether a peer did not answer when it was called just now."""
-        if address not in self._lost_since_s:
+    def _is_known_unresponsive(
+        self, address: model.Address, now_s: float
+    ) -> bool:
+        """Whether a peer did not answer a recent call."""
+        if address not in self._unresponsive_since_s:
             return False
-        found_s = self._found_lost_s[address]
-        return now_s - found_s < self._settings.lost_evidence_s
+        failed_s = self._last_failure_s[address]
+        return now_s - failed_s < self._settings.failure_evidence_s
 
     def _make_pool(self, address: model.Address) -> exchange.Exchanger:
-        """Returns the connections to an address."""
+        """Returns a connection pool for an address."""
         settings = exchange.ConnectionSettings(drops_idle_on_timeout=True)
         return exchange.ConnectionPool(address, settings, self._clock)
 
     async def _call(
         self, address: model.Address, path: bytes, body: bytes
-    ) -> _Answer:
-        """Posts a message; a peer that does not take it is paused."""
+    ) -> _CallResult:
+        """Posts a message; pauses calls to a peer that does not accept it."""
         now_s = self._clock.monotonic_s()
         if now_s < self._paused_until_s.get(address, 0.0):
-            # One that ended is called each time: it may have started again.
-            return _Answer(Reception.UNKNOWN)
+            # This does not apply to a terminated peer, which is called each
+            # time, since it may have restarted.
+            return _CallResult(Reception.UNKNOWN)
         result: exchange.Result = exchange.Broken("no answer in time")
         timeout_s = self._settings.timeout_s
         timeout_s += len(body) / self._settings.min_bytes_per_s
         with timeouts.move_on_after(timeout_s, self._clock):
             result = await self._post(address, path, body)
         if isinstance(result, exchange.Reply):
-            self._lost_since_s.pop(address, None)
+            self._unresponsive_since_s.pop(address, None)
             if result.status == _HTTP_OK:
-                return _Answer(Reception.ACCEPTED, result.body)
+                return _CallResult(Reception.ACCEPTED, result.body)
             if result.status == _HTTP_CONFLICT:
-                return _Answer(Reception.DISPUTED)
+                return _CallResult(Reception.DISPUTED)
             reason = f"status {result.status}"
         else:
             reason = result.reason
@@ -305,11 +311,11 @@
         now_s = self._clock.monotonic_s()
         if not ended:
             self._paused_until_s[address] = now_s + self._settings.pause_s
-        if not self._is_known_lost(address, now_s):
-            self._lost_since_s[address] = now_s
-        self._found_lost_s[address] = now_s
+        if not self._is_known_unresponsive(address, now_s):
+            self._unresponsive_since_s[address] = now_s
+        self._last_failure_s[address] = now_s
         self._journal.decision("peer_lost", address=str(address), reason=reason)
-        return _Answer(Reception.ENDED if ended else Reception.UNKNOWN)
+        return _CallResult(Reception.ENDED if ended else Reception.UNKNOWN)
 
     async def _post(
         self, address: model.Address, path: bytes, body: bytes
@@ -325,38 +331,40 @@
 
 
 def encode_relay(relay: Relay) -> bytes:
-    """Returns a relay as bytes, made once for all peers."""
+    """Encodes a relay, once for all peers."""
     return _deflate(_RELAYS.encode(relay))
 
 
 def encode_map(key_map: keymap.KeyMap) -> bytes:
-    """Returns a key map as bytes, made once for all peers."""
+    """Encodes a key map, once for all peers."""
     return _deflate(_MAPS.encode(key_map))
 
 
 def _deflate(data: bytes) -> bytes:
-    """Returns a message as it goes over the wire."""
+    """Compresses a message for sending."""
     return zlib.compress(data, _DEFLATE_LEVEL)
 
 
 def _inflate(data: bytes) -> bytes:
-    """Returns the message that came over the wire.
+    """Decompresses a received message.
 
     Raises:
-        codec.CodecError: It is cut short, too long or not deflated.
+        codec.CodecError: It is truncated, too long or not deflated.
     """
     inflater = zlib.decompressobj()
     try:
         message = inflater.decompress(data, _BODY_MAX_BYTES)
     except zlib.error as error:
-        raise codec.CodecError(f"cannot be inflated: {error}") from error
+        raise codec.CodecError(
+            f"cannot inflate the message: {error}"
+        ) from error
     if not inflater.eof:
-        raise codec.CodecError("is cut short, or too long once inflated")
+        raise codec.CodecError("the message is truncated or too long")
     return message
 
 
 class PeerReply(NamedTuple):
-    """The answer to a message, as it goes over HTTP."""
+    """The HTTP answer to a message."""
 
     status: int
     body: bytes = b""
@@ -367,45 +375,45 @@
 
     def __init__(
         self,
-        take_load: Callable[[load.LoadReport], None],
-        take_map: Callable[[keymap.KeyMap], None],
-        take_settled: Callable[[tuple[Settled, ...]], None],
-        take_relay: Callable[[Relay, Echo | None], RelayReply | None],
+        handle_load: Callable[[load.LoadReport], None],
+        handle_map: Callable[[keymap.KeyMap], None],
+        handle_settled: Callable[[tuple[Settled, ...]], None],
+        handle_relay: Callable[[Relay, Echo | None], RelayReply | None],
         journal: journals.Journal,
     ) -> None:
-        """Keeps who takes what.
+        """Stores the handlers of messages.
 
         Args:
-            take_load: Takes a load report.
-            take_map: Takes a key map.
-            take_settled: Takes the end of moves.
-            take_relay: Takes what another instance read; returns the answer;
-                None if it does not count, since a later leader is known.
-            journal: Told of messages that cannot be read.
+            handle_load: Handles a load report.
+            handle_map: Handles a key map.
+            handle_settled: Handles completed moves.
+            handle_relay: Handles a relay; returns the answer, or None if the
+                sender is disputed, since a later leader is known.
+            journal: Records unreadable messages.
         """
-        self._takers: dict[bytes, Callable[[bytes], None]] = {
-            _LOAD_PATH: lambda body: take_load(_LOADS.decode(body)),
-            _MAP_PATH: lambda body: take_map(_MAPS.decode(body)),
-            _SETTLED_PATH: lambda body: take_settled(_SETTLED.decode(body)),
+        self._handlers: dict[bytes, Callable[[bytes], None]] = {
+            _LOAD_PATH: lambda body: handle_load(_LOADS.decode(body)),
+            _MAP_PATH: lambda body: handle_map(_MAPS.decode(body)),
+            _SETTLED_PATH: lambda body: handle_settled(_SETTLED.decode(body)),
         }
-        self._take_relay = take_relay
+        self._handle_relay = handle_relay
         self._journal = journal
 
     def answer(self, path: bytes, body: bytes) -> PeerReply:
-        """Takes a message; returns the answer."""
+        """Handles a message; returns the answer."""
         try:
             if path == _RELAY_PATH:
                 return self._answer_relay(_ENVELOPES.decode(body))
-            take = self._takers.get(path)
-            if take is None:
+            handle = self._handlers.get(path)
+            if handle is None:
                 return PeerReply(404)
-            take(_inflate(body))
+            handle(_inflate(body))
         except codec.CodecError as error:
             return self.reject_unreadable(path, error)
         return PeerReply(_HTTP_OK)
 
     def reject_unreadable(self, path: bytes, error: ValueError) -> PeerReply:
-        """Tells of a message that cannot be read, and answers it."""
+        """Logs a message that cannot be read; returns the answer to it."""
         self._journal.decision(
             "peer_message_unreadable",
             path=path.decode("ascii", "replace"),
@@ -414,9 +422,9 @@
         return PeerReply(400)
 
     def _answer_relay(self, envelope: _Envelope) -> PeerReply:
-        """Answers the leader's word."""
+        """Handles a relay; returns the answer."""
         relay = _RELAYS.decode(_inflate(envelope.relay))
-        reply = self._take_relay(relay, envelope.echo)
+        reply = self._handle_relay(relay, envelope.echo)
         if reply is None:
             return PeerReply(_HTTP_CONFLICT)
         return PeerReply(_HTTP_OK, _REPLIES.encode(reply))
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -145,7 +145,9 @@
                 words[kind] = self._make_word(known, asks=peer in asked)
             answer = await self._send(peer, words[kind])
             received.append(
-                answer.reception if answer.reply.counts else _NO_VOICE
+                answer.reception
+                if answer.reply.counts_for_majority
+                else _NO_VOICE
             )
             if answer.reply.offsets:
                 tasks.start_soon(self._catch_up, peer)
@@ -197,7 +199,7 @@
         return peers.RelayReply(
             self._beliefs.offsets() if is_behind else (),
             self._beliefs.changes_for_lost_topics(relay.batches)
-            if relay.asks
+            if relay.wants_batches
             else (),
             self._leadership.knows_claims,
             peers.Stamp(self._life, self._clock.monotonic_s()),
@@ -210,9 +212,9 @@
         A host that stood still, or a link, may have held it up for any time.
         None if that is not known: a leader's first word may be of any age.
         """
-        if echo is None or echo.stamp.life != self._life:
+        if echo is None or echo.stamp.process_id != self._life:
             return None
-        written_s = echo.stamp.answered_s + echo.since_s
+        written_s = echo.stamp.answered_s + echo.elapsed_s
         return self._clock.monotonic_s() - written_s
 
     def _choose_asked(self) -> set[model.Address]:
@@ -255,7 +257,7 @@
 
     async def _send(
         self, peer: model.Address, word: _Word
-    ) -> peers.RelayAnswer:
+    ) -> peers.RelayResult:
         """Sends a word, and keeps up to where its receiver knows."""
         echo = self._make_echo(peer, word.written_s)
         answer = await self._client.relay(peer, word.encoded, echo)
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -195,7 +195,7 @@
     wire.happen = lambda: _rest(scene)
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
-    assert not scene.dispatcher.watch._visits
+    assert not scene.dispatcher.watch._sent_requests
     for name in NAMES:
         server = scene.book.get(ids.ServerId(name))
         assert server.failure_ratio == 0.0
--- a/libs/bridgecross-entry/tests/test_peers.py
+++ b/libs/bridgecross-entry/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What calls of other instances tell of them."""
+"""What the results of calls show about other instances."""
 
 import entry_support as support
 import pytest
@@ -13,11 +13,11 @@
 ADDRESS = model.Address("127.0.0.1", 1)
 REFUSED = exchange.Unsent("refused", refused=True)
 SILENT = exchange.Broken("no answer")
-TAKEN = exchange.Reply(200, (), b"")
+ACCEPTED = exchange.Reply(200, (), b"")
 
 
 class Peer:
-    """Another instance, with what comes of each call."""
+    """Another instance with scripted results of calls."""
 
     def __init__(self, *results: exchange.Result) -> None:
         self.results = list(results)
@@ -26,12 +26,13 @@
         return self.results.pop(0)
 
 
-# Two leaders had a majority: one counted an instance that it had not called.
+# Two leaders had a majority, as one of them counted an instance as terminated
+# that it had not called.
 @pytest.mark.parametrize(
     ("results", "expected"),
     [
         pytest.param(
-            [REFUSED, TAKEN],
+            [REFUSED, ACCEPTED],
             [peers.Reception.ENDED, peers.Reception.ACCEPTED],
             id="it has started again",
         ),
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -38,13 +38,13 @@
         self.sent.append((address, len(body)))
         await anyio.lowlevel.checkpoint()
         if address in self.cut:
-            return peers._Answer(peers.Reception.UNKNOWN)
+            return peers._CallResult(peers.Reception.UNKNOWN)
         reply = self._members[address].server.answer(path, body)
         receptions = {
             200: peers.Reception.ACCEPTED,
             409: peers.Reception.DISPUTED,
         }
-        return peers._Answer(receptions[reply.status], reply.body)
+        return peers._CallResult(receptions[reply.status], reply.body)
 
 
 class Member:
@@ -233,8 +233,12 @@
     reply = other.server.answer(b"/relay", envelope)
     answer = peers._REPLIES.decode(reply.body)
     assert reply.status == 200
-    assert (answer.offsets, answer.batches, answer.counts) == ((), (), True)
-    assert answer.stamp.life == other.relayer._life
+    assert (answer.offsets, answer.batches, answer.counts_for_majority) == (
+        (),
+        (),
+        True,
+    )
+    assert answer.stamp.process_id == other.relayer._life
     # It goes between failure domains after each word.
     assert len(reply.body) <= 25
 
