--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -144,10 +144,14 @@
             known = self._known_offsets.get(peer, self._state.offsets())
             variant = (known, peer in polled)
             if variant not in messages:
-                messages[variant] = self._make_relay(known, asks=peer in polled)
+                messages[variant] = self._make_relay(
+                    known, wants_batches=peer in polled
+                )
             answer = await self._send(peer, messages[variant])
             received.append(
-                answer.reception if answer.reply.counts else _COUNTS_AS_ENDED
+                answer.reception
+                if answer.reply.counts_for_majority
+                else _COUNTS_AS_ENDED
             )
             if answer.reply.offsets:
                 tasks.start_soon(self._catch_up, peer)
@@ -200,7 +204,7 @@
         return peers.RelayReply(
             self._state.offsets() if is_behind else (),
             self._state.changes_for_lost_topics(relay.batches)
-            if relay.asks
+            if relay.wants_batches
             else (),
             self._leadership.knows_claims,
             peers.Stamp(self._process_id, self._clock.monotonic_s()),
@@ -213,9 +217,9 @@
         A suspended host or a slow link may have delayed it for any time. None
         if there is no bound: a leader's first message may be of any age.
         """
-        if echo is None or echo.stamp.life != self._process_id:
+        if echo is None or echo.stamp.process_id != self._process_id:
             return None
-        written_s = echo.stamp.answered_s + echo.since_s
+        written_s = echo.stamp.answered_s + echo.elapsed_s
         return self._clock.monotonic_s() - written_s
 
     def _choose_polled(self) -> set[model.Address]:
@@ -229,7 +233,7 @@
         return {addresses[(first + n) % len(addresses)] for n in range(count)}
 
     def _make_relay(
-        self, known: cluster_state.Offsets, *, asks: bool
+        self, known: cluster_state.Offsets, *, wants_batches: bool
     ) -> _EncodedRelay:
         """Returns the message for instances that know the given offsets.
 
@@ -237,18 +241,20 @@
         receivers that know less answer with theirs, and are sent the missing
         changes separately.
         """
-        message = self._encode_changes(known, asks=asks)
+        message = self._encode_changes(known, wants_batches=wants_batches)
         if len(message.encoded) <= self._settings.message_max_bytes:
             return message
-        return self._encode_changes(self._state.offsets(), asks=asks)
+        return self._encode_changes(
+            self._state.offsets(), wants_batches=wants_batches
+        )
 
     def _encode_changes(
-        self, known: cluster_state.Offsets, *, asks: bool = False
+        self, known: cluster_state.Offsets, *, wants_batches: bool = False
     ) -> _EncodedRelay:
         """Returns a message with all changes since the given offsets."""
         relay = peers.Relay(
             self._leadership.claim,
-            asks,
+            wants_batches,
             self.resigns,
             self._state.list_is_lost,
             self._state.changes_since(known),
@@ -261,7 +267,7 @@
 
     async def _send(
         self, peer: model.Address, message: _EncodedRelay
-    ) -> peers.RelayAnswer:
+    ) -> peers.RelayResult:
         """Sends a message, and stores the offsets that its receiver knows."""
         echo = self._make_echo(peer, message.written_s)
         answer = await self._client.relay(peer, message.encoded, echo)
