--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -25,8 +25,8 @@
 SWITCHED_OFF: dict[str, tuple[dict[str, object], dict[str, object]]] = {
     "as it is": ({}, {}),
     "late requests take any slot": ({"late_room_ratio": _FAR_MORE}, {}),
-    "no queue a service": ({"room_margin_count": _FAR_MORE}, {}),
-    "three requests at an owner": ({"least_room_count": 3}, {}),
+    "no queue a service": ({"extra_room_count": _FAR_MORE}, {}),
+    "three requests at an owner": ({"min_room_count": 3}, {}),
     "every attempt is a first one": (
         {},
         {"ages": caller_age.CallerAgeSettings(agreed_ratio=2.0)},
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -1,7 +1,8 @@
-"""What an instance believes: servers, configuration and key maps.
+"""An instance's state of the cluster: servers, configuration and key maps.
 
-All of it comes from topics of the platform's log. One instance reads them and
-tells the others; each reads for itself when it is not told.
+All of it comes from topics of the platform's log. The leader reads them and
+relays the changes to the other instances; an instance to which nothing is
+relayed reads the log itself.
 """
 
 from collections.abc import Callable
@@ -28,117 +29,122 @@
 from bridgecross_entry import tasks as tasks_lib
 
 KEY_TOPIC = "keyed.bridgecross-keys"
-"""Key maps, one record a service."""
+"""The topic of the key maps, with one record per service."""
 
 INSTANCE_TOPIC = "keyed.bridgecross-instances"
-"""What all instances have to know of one another: where each listens, by its
-address, and which requests are refused. Each topic costs every instance calls
-of its own."""
+"""The topic of what instances share: records that list each instance, keyed by
+its peer address, and records of requests that are refused. Both are in one
+topic because each topic costs every instance log calls of its own."""
 
 REFUSED_PREFIX = "refused/"
-"""Begins the keys of records that name a request that is refused."""
+"""The prefix of the keys of records that name refused requests."""
 
 
 class ListedInstance(NamedTuple):
-    """What an instance tells of itself."""
+    """What an instance publishes about itself."""
 
     name: str
     # Whether its machine is too weak to lead many others.
     is_weak: bool
-    # The failure domain that it runs in; empty if it did not tell.
+    # The failure domain that it runs in; empty if it published none.
     failure_domain: str = ""
 
 
 INSTANCES = codecs.Codec(ListedInstance)
-"""How instances stand in their topic."""
+"""Encodes the records of instances."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterStateSettings:
-    """How often the log is read."""
+    """The timing of reads of the log."""
 
-    # Servers write their entries several times a second together, so waiting
-    # in the log returns at once; this bounds the age of the list well under
-    # the drain bound of 2 s.
+    # The pause between reads of the server list. Servers write their entries
+    # several times a second together, so a read that waits in the log would
+    # return at once. This pause keeps the age of the list well below the drain
+    # bound of 2 s.
     list_pause_s: float = 0.7
-    # A read that arrives while a record is being appended has been seen to
-    # wait on although the record was there, until its time was over. The time
-    # is short so that, with the 0.7 s until the leader's next word, what the
-    # others know stays younger than the age at which they read for themselves.
-    # It costs the leader 2.2 calls a second.
+    # How long a read of the configuration waits in the log. A read that arrived
+    # while a record was being appended has been seen to wait until its time was
+    # over although the record was there. The time is short so that, with the
+    # 0.7 s until the leader's next relay message, what the other instances know
+    # stays younger than the age at which they read for themselves. It costs the
+    # leader 2.2 calls a second.
     configuration_wait_ms: float = 400.0
-    # The age of the list and of the configuration at which an instance reads
-    # them for itself. While all is well they grow 1.2 s old: 0.46 s between two
-    # answers of the log, and 0.71 s until the word after. A change is in force
-    # after this age, 0.1 s to look, 0.01 s to read and 0.3 s for a second try:
-    # 1.7 s of the 2 s allowed (docs/design/age-of-beliefs.md).
+    # An instance reads the server list and the configuration itself once they
+    # are older than this. In normal operation their age reaches 1.2 s: 0.46 s
+    # between two answers of the log, and 0.71 s until the next relay message. A
+    # change takes effect after this age, 0.1 s until the next check, 0.01 s for
+    # the read and 0.3 s for a second attempt: 1.7 s of the 2 s allowed
+    # (docs/design/age-of-beliefs.md).
     own_read_age_s: float = 1.3
-    # For so long after its start an instance leaves all reading to the leader;
-    # see ``FIRST_START_SETTINGS``.
+    # For this long after its start an instance leaves all reading to the
+    # leader; see ``FIRST_START_SETTINGS``.
     first_read_wait_s: float = 0.0
-    # A new instance waits for the leader's word until this one has read of it.
+    # How long a read of the instance topic waits in the log. A new instance
+    # gets no relay messages until the leader has read its record.
     instance_wait_ms: float = 1_200.0
-    # Key maps are pushed by their coordinator; the log is the second way.
+    # How long a read of the key maps waits in the log. The coordinator also
+    # pushes key maps to all instances; the log is the fallback.
     key_wait_ms: float = 5_000.0
-    # Bounds the rate of reads while changes come in quick succession.
+    # Limits the rate of reads while changes come in quick succession.
     quiet_pause_s: float = 0.05
-    # The same for key maps, which change several times a second when load
-    # shifts and have come by another way by then.
+    # The same for key maps. They change several times a second when load
+    # shifts, and have been pushed by the time they are read.
     key_pause_s: float = 0.7
-    # A list of servers older than this is not acted upon: two polls, so that
-    # one that takes long does not stop the work.
+    # A server list older than this is not acted upon. It is two read intervals,
+    # so that a single slow read does not stop the work.
     list_fresh_s: float = 1.6
 
 
 FIRST_START_SETTINGS = ClusterStateSettings(first_read_wait_s=4.0)
-"""While the whole system starts for the first time there is no hurry: callers
-come about ten seconds later, and after two a leader is found and has told
-everybody. Four reads of each instance are then one of the leader; calls to the
-log are priced and their rate is bounded, and hundreds of instances start
-together."""
+"""The settings at the first start of the whole system, when fast reads are not
+needed: callers come about ten seconds later, and after two a leader has been
+elected and has relayed the topics to all. The four reads that each instance
+would make are then made by one instance only, the leader. Calls to the log cost
+money and their rate is limited, and hundreds of instances start together."""
 
 
 class Decoder(Protocol):
-    """Reads records of the platform."""
+    """Decodes records of the platform."""
 
     @property
     def server_topic(self) -> str:
-        """The topic that lists the backend servers."""
+        """The topic of the list of backend servers."""
 
     @property
     def configuration_topic(self) -> str:
         """The topic of the operator's configuration."""
 
     def decode_server(self, record: logs.KeyedRecord) -> model.BackendServer:
-        """Returns the backend server of an entry.
+        """Decodes an entry of the server list.
 
         Raises:
-            findings.FindingsError: The entry makes no sense.
+            findings.FindingsError: The entry is invalid.
         """
 
     def decode_configuration(
         self, record: logs.KeyedRecord
     ) -> model.Configuration | None:
-        """Returns a configuration; None if the record holds none.
+        """Decodes a configuration; returns None for any other record.
 
         Raises:
-            findings.FindingsError: The configuration makes no sense.
+            findings.FindingsError: The configuration is invalid.
         """
 
     def decode_evacuation(
         self, record: logs.KeyedRecord
     ) -> evacuations.EvacuationChange | None:
-        """Returns what a record of the configuration's topic says of a domain.
+        """Decodes the start or end of an evacuation.
 
-        None if it says nothing of any.
+        Returns None for any other record of the configuration topic.
 
         Raises:
-            findings.FindingsError: It makes no sense.
+            findings.FindingsError: The record is invalid.
         """
 
 
 class TopicOffset(NamedTuple):
-    """Up to where an instance knows a topic."""
+    """The offset up to which an instance knows a topic."""
 
     topic: str
     # The offset to read on from; None if nothing is known.
@@ -146,11 +152,11 @@
 
 
 Offsets = tuple[TopicOffset, ...]
-"""Up to where an instance knows the topics."""
+"""The offsets up to which an instance knows the topics."""
 
 
 class ClusterState:
-    """Follows the log's topics and keeps what they say."""
+    """Follows the topics of the log and keeps their state."""
 
     def __init__(
         self,
@@ -163,31 +169,33 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Reads nothing yet.
+        """Initializes the state without reading.
 
         Args:
-            settings: How often to read.
+            settings: The timing of reads.
             log: The platform's log.
-            decoder: Reads its records.
-            book: Takes in the servers.
-            table: Takes in the key maps.
+            decoder: Decodes its records.
+            book: Receives the servers.
+            table: Receives the key maps.
             configure: Called with each newer configuration.
-            journal: Told of changes, and of what cannot be read.
-            clock: For ages.
+            journal: Receives lines about changes and invalid records.
+            clock: Measures ages.
         """
         self.configuration: model.Configuration | None = None
-        # Called with the key and the value of a record that names a request
-        # that is refused, or no longer.
+        # Called with the key and value of each record that adds or removes a
+        # refused request.
         self.on_refused: Callable[[str, bytes], None] = lambda *_: None
-        # Where the instances listen, this one included.
+        # The peer addresses of all instances, including this one.
         self.instances: set[model.Address] = set()
-        # Those that should lead only if no other can.
+        # Those of weak machines, which should lead only if no other can.
         self.weak_instances: set[model.Address] = set()
-        # The strong ones by failure domain; replaced when one comes or goes.
+        # The others, by failure domain. A tuple is replaced when an instance is
+        # added or removed.
         self._strong: dict[str, tuple[model.Address, ...]] = {}
-        # When a word about an instance last came.
+        # When the last record about an instance was applied.
         self._instances_changed_s = clock.monotonic_s()
-        # Notified when there is something to tell others.
+        # Notified when there may be changes to relay, and after each read of
+        # the server list.
         self.updated = notifier.Notifier()
         self._settings = settings
         self._log = log
@@ -199,7 +207,7 @@
         self._clock = clock
         self._configuration_is_unreadable = False
         topics = (decoder.configuration_topic, KEY_TOPIC, INSTANCE_TOPIC)
-        self._aside = {
+        self._invalid_records = {
             topic: invalid_records.InvalidRecords(topic, journal)
             for topic in topics
         }
@@ -210,31 +218,31 @@
         self._follow(
             self._servers,
             (0, settings.list_pause_s),
-            self._list.take_all,
-            self._list.take_changes,
+            self._list.apply_all,
+            self._list.apply_changes,
             is_urgent=True,
         )
         self._configurations = feeds.Feed(decoder.configuration_topic)
         self._follow(
             self._configurations,
             (settings.configuration_wait_ms, settings.quiet_pause_s),
-            self._take_all_configurations,
-            self._take_configurations,
+            self._apply_all_configurations,
+            self._apply_changed_configurations,
             is_urgent=True,
         )
         self._keys = feeds.Feed(KEY_TOPIC)
         self._follow(
             self._keys,
             (settings.key_wait_ms, settings.key_pause_s),
-            self._take_all_maps,
-            self._take_maps,
+            self._apply_all_maps,
+            self._apply_changed_maps,
         )
         self._instances = feeds.Feed(INSTANCE_TOPIC)
         self._follow(
             self._instances,
             (settings.instance_wait_ms, settings.quiet_pause_s),
-            self._take_all_instances,
-            self._take_instances,
+            self._apply_all_instances,
+            self._apply_changed_instances,
         )
         self._feeds = (
             self._servers,
@@ -247,12 +255,12 @@
         self,
         feed: feeds.Feed,
         pace: tuple[float, float],
-        take_all: Callable[[tuple[logs.KeyedRecord, ...]], None],
-        take_changes: Callable[[tuple[logs.KeyedRecord, ...]], None],
+        apply_all: Callable[[tuple[logs.KeyedRecord, ...]], None],
+        apply_changes: Callable[[tuple[logs.KeyedRecord, ...]], None],
         *,
         is_urgent: bool = False,
     ) -> None:
-        """Gives a feed its follower, which reads nothing yet."""
+        """Creates the follower of a feed."""
         is_list = feed is self._servers
         own_read_age_s = self._settings.own_read_age_s
         feed.follower = followers.Follower(
@@ -264,8 +272,8 @@
                 first_read_wait_s=self._settings.first_read_wait_s,
             ),
             self._log,
-            take_all,
-            take_changes,
+            apply_all,
+            apply_changes,
             self._journal,
             self._clock,
             self.updated.notify if is_list else None,
@@ -273,33 +281,35 @@
 
     @property
     def key_follower(self) -> followers.Follower:
-        """Follows the key maps."""
+        """The follower of the key maps."""
         return self._keys.follower
 
     def take_topic_statuses(self) -> tuple[followers.TopicStatus, ...]:
-        """Returns how well each topic is known; longest ages start anew."""
+        """Returns the status of each topic, and resets the longest ages."""
         return tuple(feed.follower.take_status() for feed in self._feeds)
 
-    def unreadable_counts(self) -> dict[str, int]:
-        """Returns how many records made no sense, by topic."""
-        counts = {topic: each.count for topic, each in self._aside.items()}
-        counts[self._servers.topic] = self._list.left_aside.count
+    def invalid_record_counts(self) -> dict[str, int]:
+        """Returns the number of invalid records by topic."""
+        counts = {
+            topic: each.count for topic, each in self._invalid_records.items()
+        }
+        counts[self._servers.topic] = self._list.invalid_records.count
         return counts
 
-    def _aside_of(self, feed: feeds.Feed) -> invalid_records.InvalidRecords:
-        """Returns what was left aside of a topic."""
-        return self._aside[feed.topic]
+    def _invalid_of(self, feed: feeds.Feed) -> invalid_records.InvalidRecords:
+        """Returns the invalid records of a topic."""
+        return self._invalid_records[feed.topic]
 
     @property
     def server_list_as_of_s(self) -> float | None:
-        """When the list of servers was last heard of."""
+        """When the list of servers was last known to be the newest."""
         return self._servers.follower.as_of_s
 
     @property
     def configuration_age_s(self) -> float:
-        """How long ago the configuration was known to be the newest.
+        """How long ago the configuration was last known to be the newest.
 
-        Infinite if a newer one could not be read.
+        Infinite if a newer one is invalid.
         """
         if self._configuration_is_unreadable:
             return float("inf")
@@ -307,12 +317,12 @@
 
     @property
     def list_is_lost(self) -> bool:
-        """Whether the list of servers could not be read just now."""
+        """Whether the last attempt to read the list of servers failed."""
         return self._servers.follower.lost_since_s is not None
 
     @property
     def list_is_fresh(self) -> bool:
-        """Whether the list of servers was read just now."""
+        """Whether the list of servers is recent enough to act upon."""
         heard_s = self.server_list_as_of_s
         if heard_s is None:
             return False
@@ -331,7 +341,7 @@
 
     @property
     def instances_are_lost(self) -> bool:
-        """Whether instances may have listed themselves unseen."""
+        """Whether instances may have been added that this one does not know."""
         return self._instances.follower.is_lost
 
     @property
@@ -341,44 +351,43 @@
 
     @property
     def instances_unchanged_for_s(self) -> float:
-        """For how long nothing has been heard of any instance."""
+        """For how long the list of instances has not changed."""
         return self._clock.monotonic_s() - self._instances_changed_s
 
     @property
     def is_complete(self) -> bool:
-        """Whether there is enough to route requests by."""
+        """Whether all that is needed to route requests is known."""
         return (
             self.configuration is not None
             and self.server_list_as_of_s is not None
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts to follow all topics."""
+        """Starts following all topics."""
         for feed in self._feeds:
             tasks.start_soon(
                 tasks_lib.keep_running, feed.follower.run, self._journal
             )
 
-    # Telling others.
+    # Relaying to other instances.
 
     def start_relaying(self) -> None:
-        """Reads for all from now on, waiting for nobody's word."""
+        """Starts reading for all, without waiting for relay messages."""
         for feed in self._feeds:
             feed.follower.stop_awaiting_relay()
 
     def offsets(self) -> Offsets:
-        """Returns up to where this instance knows the topics."""
+        """Returns the offsets up to which this instance knows the topics."""
         return tuple(
             TopicOffset(feed.topic, feed.follower.next_offset)
             for feed in self._feeds
         )
 
     def changes_since(self, known: Offsets) -> tuple[followers.TopicBatch, ...]:
-        """Returns what one that knows the topics up to some offsets is told.
+        """Returns the changes that an instance with some offsets lacks.
 
         Args:
-            known: Up to where it knows them; topics that are missing, not at
-                all.
+            known: Its offsets; a topic that is missing is not known at all.
         """
         offset_of = {each.topic: each.next_offset for each in known}
         batches = [
@@ -391,12 +400,12 @@
         batches: tuple[followers.TopicBatch, ...],
         delay_s: float | None = 0.0,
     ) -> None:
-        """Takes in what the instance that reads for all knows.
+        """Applies batches that the leader relayed.
 
         Args:
-            batches: What it told.
-            delay_s: For how long that was under way at the most; None if that
-                is not known.
+            batches: The relayed changes.
+            delay_s: An upper bound of the time that the message was in transit;
+                None if that is unknown.
         """
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
@@ -407,7 +416,7 @@
     def _match(
         self, batches: tuple[followers.TopicBatch, ...]
     ) -> list[tuple[feeds.Feed, followers.TopicBatch]]:
-        """Returns batches with their feeds; topics not known are left out."""
+        """Returns batches with their feeds; skips unknown topics."""
         feed_of = {feed.topic: feed for feed in self._feeds}
         return [
             (feed_of[batch.topic], batch)
@@ -418,22 +427,23 @@
     def changes_for_lost_topics(
         self, batches: tuple[followers.TopicBatch, ...]
     ) -> tuple[followers.TopicBatch, ...]:
-        """Returns what is known here of topics that a teller cannot read.
+        """Returns changes of topics that the sender of batches cannot read.
 
         Args:
-            batches: What it told, which says what it cannot read.
+            batches: The relayed changes, which show the topics that it cannot
+                read.
         """
-        found = [
+        candidates = [
             feed.since(batch.next_offset)
             for feed, batch in self._match(batches)
             if batch.is_lost
         ]
-        return tuple(batch for batch in found if batch and batch.records)
+        return tuple(batch for batch in candidates if batch and batch.records)
 
     def apply_from_follower(
         self, batches: tuple[followers.TopicBatch, ...]
     ) -> None:
-        """Takes in what another instance knows beyond this one."""
+        """Applies batches from a follower that is ahead of this instance."""
         for feed, batch in self._match(batches):
             known_to = feed.follower.next_offset
             feed.follower.apply_from_follower(batch)
@@ -441,7 +451,7 @@
                 feed.note_applied(batch)
 
     def is_behind(self, batches: tuple[followers.TopicBatch, ...]) -> bool:
-        """Whether one that tells some batches knows more than this one."""
+        """Whether the sender of batches knows more than this instance."""
         known_to = {each.topic: each.next_offset for each in self.offsets()}
         return any(
             _is_before(known_to[batch.topic], batch.next_offset)
@@ -449,94 +459,94 @@
             if batch.topic in known_to
         )
 
-    # The operator's words: configurations and evacuations.
+    # Records of the operator: configurations and evacuations.
 
-    def _take_all_configurations(
+    def _apply_all_configurations(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
-        """Takes the newest words, which may be known."""
+        """Applies the newest records, some of which may be known."""
         self._configurations.put_all(records)
         evacuated = self._book.evacuations.domains
-        words, unclear = self._read_evacuations(records)
-        # What no record says any more is over; what cannot be read stands.
-        gone = evacuated - {word.domain for word in words} - unclear
-        words += [
+        changes, invalid = self._read_evacuations(records)
+        # An evacuation without a record has ended; one with an invalid record
+        # remains.
+        ended = evacuated - {change.domain for change in changes} - invalid
+        changes += [
             evacuations.EvacuationChange(domain, False)
-            for domain in sorted(gone)
+            for domain in sorted(ended)
         ]
-        self._evacuate(words)
-        self._apply_configurations(records)
+        self._evacuate(changes)
+        self._apply_newest_configuration(records)
 
-    def _take_configurations(
+    def _apply_changed_configurations(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
-        """Takes words that followed."""
+        """Applies the records that followed."""
         self._configurations.put(records)
-        words, _ = self._read_evacuations(records)
-        self._evacuate(words)
-        self._apply_configurations(records)
+        changes, _ = self._read_evacuations(records)
+        self._evacuate(changes)
+        self._apply_newest_configuration(records)
 
     def _read_evacuations(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> tuple[list[evacuations.EvacuationChange], set[str]]:
-        """Returns what records say of failure domains.
+        """Decodes the changes of evacuations in records.
 
         Returns:
-            What they say, and the domains of which they say something that
-            cannot be read.
+            The changes, and the failure domains of invalid records.
         """
-        words = []
-        unclear = set()
+        changes = []
+        invalid = set()
         for record in records:
             try:
-                word = self._decoder.decode_evacuation(record)
+                change = self._decoder.decode_evacuation(record)
             except Exception as error:
-                self._aside_of(self._configurations).note(
+                self._invalid_of(self._configurations).note(
                     "evacuation_unreadable", record.key, error
                 )
-                unclear |= self._domain_in_key(record)
+                invalid |= self._domain_of_invalid(record)
                 continue
-            if word is not None:
-                words.append(word)
-        return words, unclear
+            if change is not None:
+                changes.append(change)
+        return changes, invalid
 
-    def _domain_in_key(self, record: logs.KeyedRecord) -> set[str]:
-        """Returns the domain that a record is about whose value is unclear."""
+    def _domain_of_invalid(self, record: logs.KeyedRecord) -> set[str]:
+        """Returns the failure domain of a record whose value is invalid."""
         try:
-            word = self._decoder.decode_evacuation(record._replace(value=b""))
+            change = self._decoder.decode_evacuation(record._replace(value=b""))
         except Exception as error:
-            self._aside_of(self._configurations).note(
+            self._invalid_of(self._configurations).note(
                 "evacuation_unreadable", record.key, error
             )
             return set()
-        return {word.domain} if word else set()
+        return {change.domain} if change else set()
 
-    def _evacuate(self, words: list[evacuations.EvacuationChange]) -> None:
-        """Puts what the operator says of failure domains in force."""
-        if words:
-            known_s = self._configurations.follower.as_of_s
-            self._book.evacuate(words, known_s)
+    def _evacuate(self, changes: list[evacuations.EvacuationChange]) -> None:
+        """Applies changes of evacuations."""
+        if changes:
+            last_known_s = self._configurations.follower.as_of_s
+            self._book.evacuate(changes, last_known_s)
 
-    def _apply_configurations(
+    def _apply_newest_configuration(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
-        """Puts the newest configuration in force, never an older one."""
+        """Applies the newest configuration, never an older one."""
         self.updated.notify()
         for record in records:
             try:
                 new = self._decoder.decode_configuration(record)
             except Exception as error:
-                self._aside_of(self._configurations).note(
+                self._invalid_of(self._configurations).note(
                     "configuration_unreadable", record.key, error
                 )
                 self._configuration_is_unreadable = True
                 continue
             if new is not None:
-                self._take_configuration(new)
+                self._apply_configuration(new)
                 self._configuration_is_unreadable = False
 
-    def _take_configuration(self, new: model.Configuration) -> None:
-        """Puts a configuration in force if it is newer."""
+    def _apply_configuration(self, new: model.Configuration) -> None:
+        """Applies a configuration if it is newer."""
         current = self.configuration
         version = current.version if current else None
         if version is not None and new.version <= version:
@@ -562,7 +572,7 @@
             services=len(new.services),
             source=follower.source.value,
             known_to=follower.next_offset,
-            # The one before may have been out of force for so long at most.
+            # The previous one may have been outdated for up to this long.
             known_s_ago=(
                 None if follower.as_of_s is None else round(follower.age_s, 3)
             ),
@@ -570,23 +580,25 @@
 
     # Key maps.
 
-    def _take_all_maps(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Takes the newest key map of each service."""
+    def _apply_all_maps(self, records: tuple[logs.KeyedRecord, ...]) -> None:
+        """Applies the newest key map of each service."""
         self._keys.put_all(records)
-        self._apply_maps(records)
+        self._put_maps(records)
 
-    def _take_maps(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Takes key maps that followed."""
+    def _apply_changed_maps(
+        self, records: tuple[logs.KeyedRecord, ...]
+    ) -> None:
+        """Applies key maps that followed."""
         self._keys.put(records)
-        self._apply_maps(records)
+        self._put_maps(records)
 
-    def _apply_maps(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Puts key maps into the table, which takes no older ones."""
+    def _put_maps(self, records: tuple[logs.KeyedRecord, ...]) -> None:
+        """Adds key maps to the table, which ignores older ones."""
         for record in records:
             try:
                 key_map = keymap.decode(record.value)
             except Exception as error:
-                self._aside_of(self._keys).note(
+                self._invalid_of(self._keys).note(
                     "key_map_unreadable", record.key, error
                 )
                 continue
@@ -594,29 +606,31 @@
 
     # Instances.
 
-    def _take_all_instances(
+    def _apply_all_instances(
         self, records: tuple[logs.KeyedRecord, ...]
     ) -> None:
-        """Takes in where all instances listen; others are gone."""
+        """Replaces the list of instances."""
         self._instances.put_all(records)
-        # What came and went in between is not known.
+        # Instances that were added and removed in between are unknown.
         self._instances_changed_s = self._clock.monotonic_s()
         self.instances.clear()
         self.weak_instances.clear()
         self._strong.clear()
-        self._apply_instances(records)
+        self._update_instances(records)
 
-    def _take_instances(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Takes in where instances listen, or no longer do."""
+    def _apply_changed_instances(
+        self, records: tuple[logs.KeyedRecord, ...]
+    ) -> None:
+        """Applies additions to and removals from the list of instances."""
         self._instances.put(records)
-        self._apply_instances(records)
+        self._update_instances(records)
 
-    def _apply_instances(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Adds and takes off instances."""
+    def _update_instances(self, records: tuple[logs.KeyedRecord, ...]) -> None:
+        """Adds and removes instances, and passes on refused requests."""
         self.updated.notify()
         for record in records:
             if record.key.startswith(REFUSED_PREFIX):
-                self._take_refused(record)
+                self._pass_on_refused(record)
                 continue
             try:
                 address = model.parse_address(record.key)
@@ -637,8 +651,8 @@
             if listed is not None and listed.failure_domain:
                 self._set_strong(address, listed.failure_domain)
 
-    def _take_refused(self, record: logs.KeyedRecord) -> None:
-        """Passes on which request is refused, or no longer."""
+    def _pass_on_refused(self, record: logs.KeyedRecord) -> None:
+        """Passes on a record that adds or removes a refused request."""
         try:
             self.on_refused(record.key, record.value)
         except Exception as error:
@@ -647,12 +661,12 @@
     def strong_instances(self, domain: str) -> tuple[model.Address, ...]:
         """Returns the instances of a failure domain that are not weak.
 
-        The same object until one of them comes or goes.
+        Returns the same object until one of them is added or removed.
         """
         return self._strong.get(domain, ())
 
     def _set_strong(self, address: model.Address, domain: str | None) -> None:
-        """Keeps a strong instance's failure domain; None if it has none."""
+        """Stores a strong instance's failure domain; None removes it."""
         for known, addresses in self._strong.items():
             if address in addresses and known != domain:
                 kept = tuple(each for each in addresses if each != address)
@@ -665,7 +679,7 @@
     def _decode_instance(
         self, record: logs.KeyedRecord
     ) -> ListedInstance | None:
-        """Returns what an instance tells of itself, if it can be read."""
+        """Decodes what an instance published; returns None if it is invalid."""
         try:
             return INSTANCES.decode(record.value)
         except Exception as error:
@@ -675,12 +689,12 @@
     def _note_instance(
         self, record: logs.KeyedRecord, error: Exception
     ) -> None:
-        """Leaves aside what an instance is said to tell of itself."""
-        self._aside_of(self._instances).note(
+        """Counts and logs an invalid record of the instance topic."""
+        self._invalid_of(self._instances).note(
             "instance_unreadable", record.key, error
         )
 
 
 def _is_before(known_to: int | None, next_offset: int) -> bool:
-    """Whether a topic is known less far than up to an offset."""
+    """Whether a topic is known only up to an earlier offset."""
     return known_to is None or known_to < next_offset
--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -199,7 +199,7 @@
         beliefs.set({"what": "server_list_age_s"}, age_s)
         for status in self._parts.beliefs.take_topic_statuses():
             self._set_topic(status)
-        counts = self._parts.beliefs.unreadable_counts()
+        counts = self._parts.beliefs.invalid_record_counts()
         for topic, count in counts.items():
             labels = {"what": "unreadable", "topic": topic}
             self._parts.metrics.topics.set(labels, count)
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of backend servers, as an instance follows it."""
+"""Follows the platform's list of backend servers."""
 
 from collections.abc import Callable
 import dataclasses
@@ -13,11 +13,11 @@
 from bridgecross_entry import servers as servers_lib
 
 DecodeServer = Callable[[logs.KeyedRecord], model.BackendServer]
-"""Reads an entry; raises ``findings.FindingsError`` if it makes no sense."""
+"""Decodes an entry; raises ``findings.FindingsError`` if it is invalid."""
 
 
 class ServerList:
-    """Takes entries of the list in, and keeps what others must be told."""
+    """Applies entries of the list, and stores what must be relayed."""
 
     def __init__(
         self,
@@ -27,34 +27,38 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Knows no server yet.
+        """Initializes an empty list.
 
         Args:
-            feed: Keeps what others must be told.
-            decode: Reads entries.
-            book: Takes in the servers.
-            journal: Told of entries that cannot be read.
-            clock: For how long the log has been back.
+            feed: Stores what must be relayed to others.
+            decode: Decodes entries.
+            book: Receives the servers.
+            journal: Receives lines about invalid entries.
+            clock: Measures how long ago the log became available again.
         """
-        # The servers that are listed, by their names.
+        # The listed servers by name.
         self.listed: dict[str, model.BackendServer] = {}
         self._feed = feed
         self._decode_entry = decode
         self._book = book
         self._clock = clock
-        # Entries that make no sense.
-        self.left_aside = invalid_records.InvalidRecords(feed.topic, journal)
+        # Invalid entries.
+        self.invalid_records = invalid_records.InvalidRecords(
+            feed.topic, journal
+        )
 
-    def take_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Takes in the whole list of backend servers."""
+    def apply_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
+        """Replaces the whole list of backend servers."""
         before = self.listed
         self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         self.listed = {}
         for record in records:
-            server = self._choose(self._decode(record), before.get(record.key))
+            server = self._choose_run(
+                self._decode(record), before.get(record.key)
+            )
             if server is not None:
                 self.listed[record.key] = server
-        # One that makes no sense is told to nobody; its key counts as gone.
+        # An invalid entry is not relayed; others treat its key as removed.
         self._feed.put_all(
             (record for record in records if record.key in self.listed),
             lambda record: _differs(
@@ -65,115 +69,120 @@
         for name, known in before.items():
             server = self.listed.get(name)
             if server is not None:
-                self._note_restart(known, server)
-                self._leave_earlier(known, server)
+                self._end_earlier_run(known, server)
+                self._remove_other_run(known, server)
             elif name in present:
-                # Its entry is there and names no server to use.
-                self._book.remove(known.server_id, log_was_away=False)
+                # Its entry exists but is invalid.
+                self._book.remove(known.server_id, log_was_unavailable=False)
         self._book.replace_all(
-            self.listed.values(), log_was_away=self._log_was_away()
+            self.listed.values(),
+            log_was_unavailable=self._log_was_unavailable(),
         )
 
-    def take_changes(self, records: tuple[logs.KeyedRecord, ...]) -> None:
-        """Takes in changes of the list; most change nothing."""
+    def apply_changes(self, records: tuple[logs.KeyedRecord, ...]) -> None:
+        """Applies changed entries; most of them change nothing that matters."""
         self._book.previous_list_as_of_s = self._feed.follower.as_of_s
         newest: dict[str, logs.KeyedRecord] = {}
-        # Also those that changed and changed back: others may have seen what
-        # was in between.
+        # Also contains entries that changed and changed back, since other
+        # instances may have applied the state in between.
         changed: set[str] = set()
         servers: dict[str, model.BackendServer | None] = {}
         for record in records:
             key = record.key
             known = servers.get(key, self.listed.get(key))
-            server = self._choose(self._decode(record), known)
+            server = self._choose_run(self._decode(record), known)
             if server is known and record.value:
-                # It names no server where none stood, or an earlier run.
+                # The entry is invalid and none was known, or it is of an
+                # earlier run.
                 continue
-            # One that makes no sense is told to nobody.
-            told = record if server else logs.KeyedRecord(key, b"")
-            if _differs(known, server) or self._is_told:
+            # An invalid entry is relayed as a removed one.
+            relayed = record if server else logs.KeyedRecord(key, b"")
+            if _differs(known, server) or self._is_relayed:
                 changed.add(key)
             if known is not None and server is not None:
-                self._note_restart(known, server)
-            newest[key], servers[key] = told, server
+                self._end_earlier_run(known, server)
+            newest[key], servers[key] = relayed, server
         for name, server in servers.items():
-            self._take_server(name, server)
+            self._apply_server(name, server)
         self._feed.put(newest.values(), lambda record: record.key in changed)
 
     @property
-    def _is_told(self) -> bool:
-        """Whether another instance told what is taken of the servers."""
+    def _is_relayed(self) -> bool:
+        """Whether another instance relayed the records being applied."""
         return self._feed.follower.source is followers.Source.PEER
 
-    def _take_server(
+    def _apply_server(
         self, name: str, server: model.BackendServer | None
     ) -> None:
-        """Takes in one entry of the list, or that it is gone."""
+        """Applies one entry of the list, or its removal."""
         known = self.listed.pop(name, None)
         if server is None:
             if known is not None:
                 self._book.remove(
-                    known.server_id, log_was_away=self._log_was_away()
+                    known.server_id,
+                    log_was_unavailable=self._log_was_unavailable(),
                 )
             return
         self.listed[name] = server
         if known is not None:
-            self._leave_earlier(known, server)
+            self._remove_other_run(known, server)
         self._book.put(server)
 
-    def _choose(
+    def _choose_run(
         self,
         server: model.BackendServer | None,
         known: model.BackendServer | None,
     ) -> model.BackendServer | None:
-        """Returns which of two runs of a server stands in the list.
+        """Returns which of two runs of a server is listed.
 
-        An entry that its server wrote before it started again may be done
-        after the first one of the new run; the earlier run has ended. One that
-        tells no start, where the server does, is not the server's.
+        An entry that a server wrote before a restart may be appended after the
+        first entry of the new run; the earlier run has ended then. An entry
+        without a start time was not written by a server that reports its start
+        time.
         """
         if server is None or known is None or known.started_ms is None:
             return server
         if server.started_ms is None:
-            error = ValueError("it tells no start, as its server does")
-            self.left_aside.note("entry_unreadable", server.name, error)
+            error = ValueError(
+                "the entry has no start time, but its server reports one"
+            )
+            self.invalid_records.note("entry_unreadable", server.name, error)
             return None
         return server if server.started_ms >= known.started_ms else known
 
-    def _note_restart(
+    def _end_earlier_run(
         self, known: model.BackendServer, server: model.BackendServer
     ) -> None:
-        """Takes in that a server has started again, if it has.
+        """Records that the earlier run has ended, if a server has restarted.
 
-        The earlier run has ended. Orders that were meant for it may have
-        reached the new one.
+        Orders intended for the earlier run may have reached the new one.
         """
         if (server.started_ms or 0) > (known.started_ms or 0):
-            reason = f"it has started again as {server.server_id}"
+            reason = f"it has restarted as {server.server_id}"
             self._book.end(known.server_id, reason)
 
-    def _leave_earlier(
+    def _remove_other_run(
         self, known: model.BackendServer, server: model.BackendServer
     ) -> None:
-        """Gives up another run that stood in the list before."""
+        """Removes another run of the server that was listed before."""
         if known.server_id != server.server_id:
-            # It need not have ended: gone in between, and by its clock the
-            # new run began before it.
-            self._book.remove(known.server_id, log_was_away=False)
+            # That run may not have ended: its entry was removed in between, and
+            # by the server's clock the new run began earlier.
+            self._book.remove(known.server_id, log_was_unavailable=False)
 
     def _decode(self, record: logs.KeyedRecord) -> model.BackendServer | None:
-        """Returns the server of an entry; None if it names none to use."""
+        """Returns the server of an entry; None if it is removed or invalid."""
         if not record.value:
             return None
         try:
             return self._decode_entry(record)
         except Exception as error:
-            # Whatever others wrote, it must not stop the topic.
-            self.left_aside.note("entry_unreadable", record.key, error)
+            # An invalid record of another writer must not stop the topic.
+            self.invalid_records.note("entry_unreadable", record.key, error)
             return None
 
-    def _log_was_away(self) -> bool:
-        """Whether entries may have lapsed only for want of the log."""
+    def _log_was_unavailable(self) -> bool:
+        """Whether entries may have expired for lack of the log."""
         follower = self._feed.follower
         now_s = self._clock.monotonic_s()
         grace_s = self._book.settings.lapse_grace_s
@@ -186,10 +195,10 @@
 def _differs(
     known: model.BackendServer | None, listed: model.BackendServer | None
 ) -> bool:
-    """Whether others must be told of a change of an entry.
+    """Whether a change of an entry must be relayed to others.
 
-    The rest of the time for which a server is cold runs off by itself; others
-    must be told if it has grown, since the server has turned cold again.
+    The remaining warm-up time decreases by itself. Others must be told only if
+    it has increased, since the server has then become cold again.
     """
     if known is None or listed is None:
         return known is not listed
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -1,8 +1,8 @@
-"""The backend servers, with what this instance saw of each.
+"""The backend servers, with this instance's measurements of each.
 
-A server that vanishes from the platform's list without a word may be one
-that is leaving, or one whose entry lapsed while the log was away. It is kept
-for a short while as a last resort.
+A server that disappears from the platform's list without notice may be
+stopping, or its entry may have expired while the log was unavailable. It is
+kept for a short time as a last resort.
 """
 
 from collections.abc import Callable
@@ -23,91 +23,96 @@
 from bridgecross_entry import notices as notices_lib
 from bridgecross_request import queueing
 
-_LATEST_MAX_COUNT = 10_000
-"""Names whose last run is remembered: 180 servers are replaced on an ordinary
-day, and one that is gone has left the key maps long before it is forgotten."""
+_LAST_RUNS_MAX_COUNT = 10_000
+"""The maximum number of names whose last run is remembered. 180 servers are
+replaced on an ordinary day, and a removed one has left the key maps long before
+it is forgotten."""
 
 
 class RoomCount(NamedTuple):
-    """How many requests an instance may have at a service at a time."""
+    """The concurrent requests that an instance may have at a service."""
 
     room: int
-    # Those of them whose answers will be late.
+    # How many of them may be requests whose answers will be late.
     late: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """How servers are judged from what is seen of them."""
+    """Parameters for rating servers and limiting the requests to them."""
 
-    # The part of the platform's drain bound in which a server that has left
-    # the list may still be used. The rest covers the age of what we read:
-    # polls are 0.7 s apart.
+    # The part of the platform's drain bound during which a server that has left
+    # the list may still be used. The rest allows for the age of the list, which
+    # is read every 0.7 s.
     drain_use_ratio: float = 0.4
-    # The same part counted from when the list was last known not to say that
-    # the server leaves. After a change of the leader, news may be 1.6 s old.
+    # The same, counted from when the list was last known not to show the server
+    # as leaving. After a change of the leader the list may be 1.6 s old.
     drain_age_ratio: float = 0.75
-    # How long entries that lapsed while the log was away may take to return.
-    # The platform promises about two seconds.
+    # How long entries that expired while the log was unavailable may take to
+    # return. The platform promises about two seconds.
     lapse_grace_s: float = 2.0
-    # Weight of the newest observation in moving averages: about the last
-    # twenty requests count, which at 5 requests/s a server is 4 s.
+    # The weight of the newest observation in moving averages: about the last
+    # twenty requests count, which take 4 s at 5 requests/s per server.
     smoothing_ratio: float = 0.05
-    # A share of failures of 1.0 makes a server look this many times slower.
-    # With 20, one that fails a third of its requests gets under a tenth of
-    # the traffic of a sound one.
+    # With a failure ratio of 1.0 a server's cost is this many times higher.
+    # With 20, a server that fails a third of its requests gets less than a
+    # tenth of the traffic of a healthy one.
     failure_penalty: float = 20.0
-    # The first pause after a server could not be reached; it doubles.
+    # The first pause after a server could not be reached. The pause doubles
+    # with each failure.
     first_pause_s: float = 0.1
-    # The longest such pause: a server that is back is noticed within it.
+    # The maximum pause. A server that is available again is noticed within it.
     longest_pause_s: float = 1.0
-    # The share by which a server in another failure domain looks slower: bytes
-    # between domains are priced, and a near server is taken until it is nearly
-    # twice as busy.
-    distance_penalty_ratio: float = 0.7
-    # What a request is taken to need before one has been seen.
+    # The relative increase of the cost of a server in another failure domain.
+    # Bytes between domains are charged, so a server in the same domain is
+    # preferred until it is nearly twice as busy.
+    remote_domain_penalty_ratio: float = 0.7
+    # The assumed latency before the first answer.
     first_guess_s: float = 0.1
-    # How many times its even share of the slots an instance may use: callers
-    # are spread unevenly over instances. What it does not send waits here,
-    # where it is put in order; servers queue in order of arrival.
-    room_spread: float = 2.2
-    # Requests that an instance may have at a service without keys beyond that.
-    # Where its share is less than a few slots, callers come in groups.
-    room_margin_count: int = 2
-    # The part of its even share of the slots that requests may take whose
-    # answers will be late in any case: servers are then not full of them when
-    # others come that can still be served in time.
+    # How many times its even share of the slots an instance may use, since
+    # callers are distributed unevenly over instances. Requests beyond that wait
+    # here, where they are ordered by priority; servers queue in order of
+    # arrival.
+    max_share_ratio: float = 2.2
+    # The additional requests that an instance may have at a service without
+    # keys. Where its share is less than a few slots, callers come in groups.
+    extra_room_count: int = 2
+    # The part of its even share of the slots that requests may use whose
+    # answers will be late in any case, so that they do not fill the servers
+    # when other requests arrive that can still be answered in time.
     late_room_ratio: float = 1.2
-    # But no less than this, in slots. Among 78 instances this part of an even
-    # share of a server's four slots is 0.04; most of them have no request there
-    # at a time, and one that has would wait for 24 answers' time.
-    late_room_least: float = 0.3
-    # Requests that an instance may have at a server however many there are:
-    # with one, two callers of the same instance would wait for each other.
-    least_room_count: int = 2
-    # A server that turns requests away has its room at this instance cut by
-    # this ratio, at most once in the pause below; each answer gives a part
-    # of a request's room back. With 11 instances and 9 answers/s each, room
-    # for one more takes 2 s to come back.
+    # The minimum of that part, in slots. Among 78 instances this part of an
+    # even share of a server's four slots is 0.04. Most instances have no
+    # request there at a time, and one that has would wait for 24 answers' time.
+    late_room_min: float = 0.3
+    # The minimum number of requests that an instance may have at a server. With
+    # one, two callers of the same instance would wait for each other.
+    min_room_count: int = 2
+    # When a server rejects a request for overload, the number of requests that
+    # this instance may have there (the room) is multiplied by this ratio, at
+    # most once in the pause below. Each answer restores part of a request. With
+    # 11 instances and 9 answers/s each, room for one more request is restored
+    # after 2 s.
     shrink_ratio: float = 0.7
     shrink_pause_s: float = 0.15
-    # A server that turns away the only request of this instance is left
-    # alone, each time for twice as long; an answer shortens it. 80 instances
-    # that share 20 requests/s come to one in 4 s each.
+    # When a server rejects the only request of this instance, it is paused,
+    # each time for twice as long; an answer shortens the pause. 80 instances
+    # that share 20 requests/s send one every 4 s each.
     shed_pause_first_s: float = 0.05
     shed_pause_max_s: float = 4.0
     shed_pause_shrink_ratio: float = 0.6
     grow_per_answer: float = 0.05
-    # How long a server's word of its own pace counts: after this time by a
-    # third. What else runs on its machine changes several times a second.
-    pace_trust_s: float = 0.3
-    # How many instances there are, as long as no coordinator has told: the
+    # The time constant with which the pace that a server reported loses its
+    # weight: after this time a third is left. The other load on its machine
+    # changes several times a second.
+    pace_decay_s: float = 0.3
+    # The assumed number of instances until a coordinator has reported it: the
     # users run 8 to 11.
     first_instance_count: int = 8
 
 
 class Server:
-    """One backend server as this instance sees it."""
+    """A backend server as this instance sees it."""
 
     def __init__(
         self,
@@ -116,33 +121,33 @@
         settings: ServerSettings,
         now_s: float,
     ) -> None:
-        """Knows nothing yet but what the list says."""
+        """Initializes a server of which only the list entry is known."""
         self.listed = listed
         self.queue = queue
         self.latency_s = settings.first_guess_s
         self.failure_ratio = 0.0
         self.joined_s = now_s
-        # When it was first seen to be leaving, or gone from the list.
+        # When it was first known to be leaving or missing from the list.
         self.leaving_since_s: float | None = None
-        # When the list was last known to say otherwise.
+        # When the list was last known to show it as staying.
         self.last_known_staying_s: float | None = None
-        # Whether it is gone from the list.
+        # Whether it is missing from the list.
         self.unlisted = False
         # Whether its run has certainly ended.
         self.ended = False
         self.paused_until_s = 0.0
-        # Until when it must be taken for cold, and for how long it is after a
+        # Until when it counts as cold, and the length of its warm-up after a
         # start.
         self.cold_until_s = float("-inf")
         self.warmup_s = 0.0
-        # Requests that this instance may have at the server at a time, and
-        # the most that this may grow to.
+        # The number of concurrent requests that this instance may have at the
+        # server (the room), and the maximum of that number.
         self._room = float(queue.settings.slots)
         self._room_max = float(queue.settings.slots)
         self._shrunk_s = float("-inf")
         self._shed_pause_s = 0.0
-        # How many times as long as usual work takes, as it said last and when,
-        # and on average.
+        # The duration of requests relative to the usual one: as the server last
+        # reported it and when, and on average.
         self._pace_ratio = 1.0
         self._paced_s = float("-inf")
         self._mean_pace_ratio = 1.0
@@ -150,7 +155,7 @@
         self._settings = settings
 
     def note_answer(self, latency_s: float, *, failed: bool) -> None:
-        """Counts an answer."""
+        """Updates the averages with an answer."""
         ratio = self._settings.smoothing_ratio
         if not failed:
             self.latency_s += ratio * (latency_s - self.latency_s)
@@ -159,20 +164,20 @@
         self._pause_s = self._settings.first_pause_s
 
     def note_pace(self, pace_ratio: float, now_s: float) -> None:
-        """Takes the server's word of how long work takes there now."""
+        """Records the duration of requests that the server reported."""
         ratio = self._settings.smoothing_ratio
         self._mean_pace_ratio += ratio * (pace_ratio - self._mean_pace_ratio)
         self._pace_ratio = pace_ratio
         self._paced_s = now_s
 
     def _pace_factor(self, now_s: float) -> float:
-        """Returns how many times its mean a request is about to take."""
+        """Returns the expected duration of a request relative to the mean."""
         age_s = now_s - self._paced_s
-        trust = math.exp(-age_s / self._settings.pace_trust_s)
-        return 1.0 + trust * (self._pace_ratio / self._mean_pace_ratio - 1.0)
+        weight = math.exp(-age_s / self._settings.pace_decay_s)
+        return 1.0 + weight * (self._pace_ratio / self._mean_pace_ratio - 1.0)
 
     def resize(self, settings: queueing.QueueSettings) -> None:
-        """Sets the most room that this instance may use."""
+        """Sets the maximum number of requests of this instance."""
         was_full = self._room >= self._room_max
         self._room_max = float(settings.slots)
         self.queue.settings = dataclasses.replace(
@@ -182,14 +187,14 @@
             self._set_room(self._room_max)
 
     def grow_room(self) -> None:
-        """Gives a part of a request's room back."""
+        """Restores part of a request's room after an answer."""
         self._shed_pause_s *= self._settings.shed_pause_shrink_ratio
         if self._room < self._room_max:
             grown = self._room + self._settings.grow_per_answer
             self._set_room(min(grown, self._room_max))
 
     def shrink_room(self, now_s: float) -> None:
-        """Cuts the room of a server that turned a request away."""
+        """Reduces the room at a server that rejected a request."""
         if now_s - self._shrunk_s < self._settings.shrink_pause_s:
             return
         self._shrunk_s = now_s
@@ -198,9 +203,10 @@
         self._set_room(max(self._room * self._settings.shrink_ratio, 1.0))
 
     def _pause_shedding(self, now_s: float) -> None:
-        """Leaves a server alone for a while that has no room even for one.
+        """Pauses a server that has no room even for a single request.
 
-        With many instances, one request of each is more than it can take.
+        With many instances, one request of each is already more than it can
+        process.
         """
         settings = self._settings
         longer_s = max(2 * self._shed_pause_s, settings.shed_pause_first_s)
@@ -210,7 +216,7 @@
         self.paused_until_s = max(self.paused_until_s, until_s)
 
     def _set_room(self, room: float) -> None:
-        """Sets the room; the queue takes whole requests."""
+        """Sets the room; the queue gets it rounded down to whole requests."""
         self._room = room
         if int(room) != self.queue.settings.slots:
             self.queue.settings = dataclasses.replace(
@@ -218,39 +224,40 @@
             )
 
     def note_unreachable(self, now_s: float) -> None:
-        """Counts an attempt that found nobody, and pauses the server."""
+        """Records a failed connection, and pauses the server."""
         self.note_interrupted()
         self.paused_until_s = now_s + self._pause_s
         self._pause_s = min(2 * self._pause_s, self._settings.longest_pause_s)
 
     def note_refused(self, now_s: float) -> None:
-        """Counts a connection that was refused, and pauses the server.
+        """Records a refused connection, and pauses the server.
 
-        Its run has most likely ended, but one that leaves refuses too while it
-        works on its last requests, and so may a link.
+        Most likely its run has ended. But a server that is stopping also
+        refuses connections while it finishes its last requests, and a network
+        link may do so as well.
         """
         self.note_interrupted()
         self._pause_s = self._settings.longest_pause_s
         self.paused_until_s = now_s + self._pause_s
-        # Whoever answers there next has just started.
+        # A server that answers there next has just started.
         self.mark_cold(now_s + self.warmup_s)
 
     def mark_cold(self, until_s: float) -> None:
-        """Takes it for cold until a time at least."""
+        """Treats the server as cold at least until a time."""
         self.cold_until_s = max(self.cold_until_s, until_s)
 
     def note_interrupted(self) -> None:
-        """Counts an attempt without a whole answer."""
+        """Records an attempt without a complete answer."""
         ratio = self._settings.smoothing_ratio
         self.failure_ratio += 2 * ratio * (1.0 - self.failure_ratio)
 
     def cost_s(self, domain: str, now_s: float) -> float:
-        """Returns how long a request sent here now would about take."""
+        """Returns the estimated duration of a request sent here now."""
         waiting = self.queue.busy + self.queue.waiting.total()
         cost_s = self.latency_s * (1.0 + waiting) * self._pace_factor(now_s)
         cost_s *= 1.0 + self._settings.failure_penalty * self.failure_ratio
         if self.listed.failure_domain != domain:
-            cost_s *= 1.0 + self._settings.distance_penalty_ratio
+            cost_s *= 1.0 + self._settings.remote_domain_penalty_ratio
         warm_in_s = self.joined_s + self.listed.warmup_left_ms / 1_000 - now_s
         if warm_in_s > 0:
             cost_s *= 2.0
@@ -258,7 +265,7 @@
 
 
 class ServerRegistry:
-    """All backend servers that this instance knows."""
+    """The backend servers that this instance knows."""
 
     def __init__(
         self,
@@ -267,18 +274,19 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Knows no server yet."""
+        """Initializes an empty registry."""
         self.settings = settings
         self.changed = notifier.Notifier()
         # Called with each run that has certainly ended.
         self.on_run_ended: Callable[[ids.ServerId], None] = lambda _: None
-        # When the list was heard of before what is being taken in.
+        # When the list was last known to be the newest, before the update that
+        # is being applied.
         self.previous_list_as_of_s: float | None = None
-        # Which failure domains are evacuated.
+        # The evacuated failure domains.
         self.evacuations = evacuations_lib.Evacuations(
             evacuations_lib.EvacuationSettings(), bounds, journal, clock
         )
-        # What servers say of themselves.
+        # What servers report about themselves.
         self.notices = notices_lib.Notices(
             notices_lib.NoticeSettings(),
             bounds,
@@ -286,43 +294,43 @@
             clock,
             self.changed.notify,
         )
-        # What holds for the servers of each service.
+        # The settings of each service.
         self._services: Mapping[ids.ServiceName, model.Service] = {}
         self._instance_count = settings.first_instance_count
         self.bounds = bounds
         self._journal = journal
         self._clock = clock
         self._servers: dict[ids.ServerId, Server] = {}
-        # Runs that have certainly ended; they never come back.
+        # The runs that have certainly ended; they never return.
         self._ended: set[ids.ServerId] = set()
-        # The run of each server that was listed last, by its name.
-        self._latest: dict[str, model.BackendServer] = {}
+        # The last listed run of each server, by server name.
+        self._last_runs: dict[str, model.BackendServer] = {}
         self._by_service: dict[ids.ServiceName, dict[ids.ServerId, Server]] = {}
 
     def get(self, server_id: ids.ServerId) -> Server | None:
-        """Returns a server that is known and may be running."""
+        """Returns a known server that may be running."""
         return self._servers.get(server_id)
 
     def known_ids(self) -> Container[ids.ServerId]:
-        """Returns the servers that may be running."""
+        """Returns the ids of the servers that may be running."""
         return self._servers.keys()
 
     def has_ended(self, server_id: ids.ServerId) -> bool:
-        """Whether a run has certainly ended; one not known may go on.
+        """Whether a run has certainly ended; an unknown run may not have.
 
-        A newer start of the same server is proof as well.
+        A later start of the same server also proves that a run has ended.
         """
         is_latest = self.latest_run(server_id) == server_id
         return server_id in self._ended or not is_latest
 
     def latest_run(self, server_id: ids.ServerId) -> ids.ServerId:
-        """Returns the newest run that is known of a run's server.
+        """Returns the newest known run of a run's server.
 
-        The run itself need not be known: it may stand in a map that another
+        The given run need not be known: it may come from a key map that another
         instance wrote.
         """
         name, started_ms = model.split_run(server_id)
-        latest = self._latest.get(name)
+        latest = self._last_runs.get(name)
         if latest is None or latest.started_ms is None:
             return server_id
         if started_ms is not None and latest.started_ms <= started_ms:
@@ -334,7 +342,7 @@
         return self._by_service.get(service, {}).values()
 
     def domains_of(self, service: ids.ServiceName) -> set[str]:
-        """Returns the failure domains with servers of a service that stay."""
+        """Returns the failure domains of a service's staying servers."""
         now_s = self._clock.monotonic_s()
         return {
             server.listed.failure_domain
@@ -343,7 +351,7 @@
         }
 
     def room_count(self, service: ids.ServiceName) -> RoomCount:
-        """Returns how many requests this instance may have at a service."""
+        """Returns how many concurrent requests may be at a service."""
         now_s = self._clock.monotonic_s()
         slots = sum(
             server.listed.slots
@@ -352,11 +360,11 @@
         )
         share = slots / self._instance_count
         settings = self.settings
-        room = settings.room_spread * share + settings.room_margin_count
+        room = settings.max_share_ratio * share + settings.extra_room_count
         return RoomCount(math.ceil(room), self._late_slots(share))
 
     def slot_share(self, service: ids.ServiceName) -> float:
-        """Returns how many slots each instance has of a server, if even.
+        """Returns this instance's even share of the slots of a server.
 
         Infinite if no server is known.
         """
@@ -371,15 +379,15 @@
         return sum(slots) / len(slots) / self._instance_count
 
     def _late_slots(self, share: float) -> float:
-        """Returns the slots for late requests, by the even share of all."""
+        """Returns the slots for late requests, given the even share."""
         settings = self.settings
-        return max(settings.late_room_ratio * share, settings.late_room_least)
+        return max(settings.late_room_ratio * share, settings.late_room_min)
 
     def put(self, listed: model.BackendServer) -> None:
-        """Takes in what the list says of a server."""
+        """Applies a list entry."""
         if listed.server_id in self._ended:
             return
-        self._latest[listed.name] = listed
+        self._last_runs[listed.name] = listed
         known = self._servers.get(listed.server_id)
         if known is None:
             self._add(listed)
@@ -402,19 +410,21 @@
             self._journal.decision("server_returned", server=listed.server_id)
         self.changed.notify()
 
-    def remove(self, server_id: ids.ServerId, *, log_was_away: bool) -> None:
-        """Takes in that a server is gone from the list.
+    def remove(
+        self, server_id: ids.ServerId, *, log_was_unavailable: bool
+    ) -> None:
+        """Records that a server is missing from the list.
 
         Args:
-            server_id: Which server.
-            log_was_away: Whether its entry may have lapsed only because the
-                log was away; it is then given time to return.
+            server_id: The server.
+            log_was_unavailable: Whether its entry may have expired only because
+                the log was unavailable; it then gets time to return.
         """
         known = self._servers.get(server_id)
         if known is None or known.unlisted:
             return
         known.unlisted = True
-        if log_was_away and known.leaving_since_s is None:
+        if log_was_unavailable and known.leaving_since_s is None:
             self._journal.decision("server_lapsed", server=server_id)
             known.leaving_since_s = (
                 self._clock.monotonic_s() + self.settings.lapse_grace_s
@@ -424,25 +434,28 @@
         self.changed.notify()
 
     def replace_all(
-        self, listed: Iterable[model.BackendServer], *, log_was_away: bool
+        self,
+        listed: Iterable[model.BackendServer],
+        *,
+        log_was_unavailable: bool,
     ) -> None:
-        """Takes in the whole list."""
+        """Replaces the whole list."""
         listed = list(listed)
         present = {server.server_id for server in listed}
         for server_id in list(self._servers):
             if server_id not in present:
-                self.remove(server_id, log_was_away=log_was_away)
+                self.remove(server_id, log_was_unavailable=log_was_unavailable)
         for server in listed:
             self.put(server)
 
     def end(self, server_id: ids.ServerId, reason: str) -> None:
-        """Takes in that the run of a server has certainly ended."""
+        """Records that the run of a server has certainly ended."""
         self._ended.add(server_id)
         self._forget(server_id, reason)
         self.on_run_ended(server_id)
 
     def _forget(self, server_id: ids.ServerId, reason: str) -> None:
-        """Takes a server out."""
+        """Removes a server."""
         known = self._servers.pop(server_id, None)
         if known is None:
             return
@@ -459,30 +472,30 @@
     def configure(
         self, services: Mapping[ids.ServiceName, model.Service]
     ) -> None:
-        """Takes what holds for the servers of each service."""
+        """Applies the settings of the services."""
         self._services = services
         for server in self._servers.values():
             self._set_warmup(server)
 
     def _set_warmup(self, server: Server) -> None:
-        """Sets for how long a server is cold after a start."""
+        """Sets the length of a server's warm-up after a start."""
         service = self._services.get(server.listed.service)
         server.warmup_s = service.warmup_ms / 1_000 if service else 0.0
 
     def _note_warmup(self, server: Server) -> None:
-        """Takes in for how long a server says that it is cold."""
+        """Applies the remaining warm-up time that a server reports."""
         left_s = server.listed.warmup_left_ms / 1_000
         if left_s > 0:
             server.mark_cold(self._clock.monotonic_s() + left_s)
 
     def service_of(self, server: Server) -> model.Service | None:
-        """Returns what holds for the servers of a server's service."""
+        """Returns the settings of a server's service."""
         return self._services.get(server.listed.service)
 
     def cold_rate_per_s(self, server: Server) -> float | None:
-        """Returns how many requests a second a server bears that is cold.
+        """Returns the requests per second that a cold server handles.
 
-        None if it bears what others bear, or must not be taken for cold.
+        None if the server is not cold or its warm-up rate is unlimited.
         """
         if self._clock.monotonic_s() >= server.cold_until_s:
             return None
@@ -490,18 +503,18 @@
         return service.warmup_rate_per_s if service else None
 
     def is_cold(self, server: Server) -> bool:
-        """Whether a server must be taken for one that bears few requests."""
+        """Whether a server must be treated as cold, with a limited rate."""
         return self.cold_rate_per_s(server) is not None
 
     def drop_stale(self) -> None:
-        """Forgets servers that have been gone from the list for long.
+        """Forgets servers that have been missing from the list for long.
 
-        By then no lease that one may have been given runs any more.
+        By then any lease that they were granted has expired.
         """
         now_s = self._clock.monotonic_s()
         keep_s = (self.bounds.drain_ms + self.bounds.lease_max_ms) / 1_000
-        if len(self._latest) > _LATEST_MAX_COUNT:
-            self._latest = {
+        if len(self._last_runs) > _LAST_RUNS_MAX_COUNT:
+            self._last_runs = {
                 server.listed.name: server.listed
                 for server in self._servers.values()
             }
@@ -510,7 +523,9 @@
             if not server.unlisted or since_s is None:
                 continue
             if now_s > since_s + keep_s:
-                self._forget(server_id, "it has been off the list for long")
+                self._forget(
+                    server_id, "it has been missing from the list for long"
+                )
 
     def may_use(self, server: Server, now_s: float) -> bool:
         """Whether new requests may be sent to a server at all."""
@@ -530,7 +545,7 @@
         return now_s < until_s
 
     def may_use_without_key(self, server: Server, now_s: float) -> bool:
-        """Whether requests that others could serve may be sent to a server."""
+        """Whether requests that other servers can also process may be sent."""
         domain = server.listed.failure_domain
         return self.may_use(server, now_s) and (
             not self.evacuations.is_evacuated(domain)
@@ -548,21 +563,22 @@
 
     def evacuate(
         self,
-        words: Iterable[evacuations_lib.EvacuationChange],
-        known_s: float | None,
+        changes: Iterable[evacuations_lib.EvacuationChange],
+        last_known_s: float | None,
     ) -> None:
-        """Takes which failure domains the operator evacuates or takes back.
+        """Applies starts and ends of evacuations.
 
         Args:
-            words: What the operator says, in order.
-            known_s: When that was last known before; None if never.
+            changes: The changes by the operator, in order.
+            last_known_s: When the evacuations were last known before; None if
+                never.
         """
         before = self.evacuations.domains
-        ended = self.evacuations.apply(words, known_s)
+        ended = self.evacuations.apply(changes, last_known_s)
         now_s = self._clock.monotonic_s()
         for server in self._servers.values():
             if server.listed.failure_domain in ended:
-                # It may have turned cold shortly before.
+                # It may have become cold shortly before.
                 server.mark_cold(now_s + server.warmup_s)
         if self.evacuations.domains != before:
             self.changed.notify()
@@ -570,7 +586,7 @@
     def note_owners(
         self, service: ids.ServiceName, owners: Container[ids.ServerId]
     ) -> None:
-        """Takes which servers own keys of a service, for what is evacuated."""
+        """Records which servers own keys of a service, to track evacuations."""
         self.evacuations.note_owners(
             service,
             {
@@ -581,7 +597,7 @@
         )
 
     def set_instances(self, count: int) -> None:
-        """Divides the servers' room among the instances."""
+        """Divides the servers' slots among the instances."""
         self._instance_count = max(count, 1)
         for server in self._servers.values():
             server.resize(self._queue_settings(server.listed))
@@ -589,19 +605,19 @@
     def _queue_settings(
         self, listed: model.BackendServer
     ) -> queueing.QueueSettings:
-        """Returns how many requests may be at a server at a time."""
+        """Returns the limits on the requests at a server."""
         settings = self.settings
         share = listed.slots / self._instance_count
-        room = math.ceil(settings.room_spread * share)
+        room = math.ceil(settings.max_share_ratio * share)
         return queueing.QueueSettings(
-            max(settings.least_room_count, room),
+            max(settings.min_room_count, room),
             starvation_share_ratio=0.0,
             late_slots=self._late_slots(share),
             first_guess_s=settings.first_guess_s,
         )
 
     def _add(self, listed: model.BackendServer) -> None:
-        """Adds a server that was not known."""
+        """Adds a new server."""
         now_s = self._clock.monotonic_s()
         queue = queueing.TierQueue(self._queue_settings(listed), self._clock)
         server = Server(listed, queue, self.settings, now_s)
@@ -613,7 +629,8 @@
         self._set_warmup(server)
         self._note_warmup(server)
         if self.previous_list_as_of_s is not None:
-            # It was not there before, whatever its entry leaves out.
+            # The list was known before, so the server is new, whatever its
+            # entry omits.
             server.mark_cold(now_s + server.warmup_s)
         self._journal.decision(
             "server_joined",
@@ -627,14 +644,14 @@
         self.changed.notify()
 
     def _note_replaced(self, listed: model.BackendServer) -> None:
-        """Tells that the runs have ended whose address a new one has."""
+        """Reports the end of runs whose address a new run has taken over."""
         for server_id, server in list(self._servers.items()):
             is_other = server_id != listed.server_id
             if is_other and server.listed.address == listed.address:
                 self.on_run_ended(server_id)
 
     def _note_leaving(self, server: Server, reason: str) -> None:
-        """Keeps since when a server has been leaving."""
+        """Records that a server is leaving."""
         now_s = self._clock.monotonic_s()
         if server.leaving_since_s is None or server.leaving_since_s > now_s:
             server.leaving_since_s = now_s
--- a/libs/bridgecross-entry/tests/cluster_state_support.py
+++ b/libs/bridgecross-entry/tests/cluster_state_support.py
@@ -1,4 +1,4 @@
-"""Instances that follow one log in memory, for tests of beliefs."""
+"""Instances that follow one log in memory, for tests of the cluster state."""
 
 from collections.abc import Callable
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class Decoder:
-    """Reads records whose value is a list of words."""
+    """Decodes records whose value is a list of words."""
 
     server_topic = "servers"
     configuration_topic = "configuration"
@@ -58,7 +58,7 @@
 
 
 class Reader:
-    """One instance's beliefs."""
+    """The cluster state of one instance."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.versions: list[int] = []
         self.on_configure: Callable[[], None] = lambda: None
         self.table = keymap.KeyTable(journal)
-        self.beliefs = cluster_state.ClusterState(
+        self.state = cluster_state.ClusterState(
             cluster_state.ClusterStateSettings(),
             platform_log,
             Decoder(keyed=keyed),
@@ -91,44 +91,47 @@
         self.on_configure()
 
     async def read(self) -> None:
-        for feed in self.beliefs._feeds:
+        for feed in self.state._feeds:
             await feed.follower.catch_up()
 
     def knows(self, name: str) -> bool:
         return self.book.get(ids.ServerId(name)) is not None
 
 
-class Teller:
-    """Speaks to others as the leader does, from what they answered last."""
+class Relay:
+    """Relays changes as the leader does.
+
+    Each message starts from the offsets in the receiver's last answer.
+    """
 
     def __init__(self, reader: Reader) -> None:
-        self._beliefs = reader.beliefs
+        self._state = reader.state
         self._known: dict[Reader, cluster_state.Offsets] = {}
 
-    def tell(self, *others: Reader) -> None:
-        """Lets others hear the next word, and once more if they lack more."""
+    def send(self, *others: Reader) -> None:
+        """Relays to other instances, and once more to those that lack more."""
         for other in others:
-            known = self._known.get(other, self._beliefs.offsets())
-            answer = self._speak(other, known)
+            known = self._known.get(other, self._state.offsets())
+            answer = self._send_once(other, known)
             if answer:
-                self._speak(other, answer)
+                self._send_once(other, answer)
 
     def lose(self, other: Reader) -> None:
-        """Speaks to one that the word does not reach."""
-        known = self._known.get(other, self._beliefs.offsets())
-        self._beliefs.changes_since(known)
+        """Sends a relay message that is lost."""
+        known = self._known.get(other, self._state.offsets())
+        self._state.changes_since(known)
 
-    def news(self, other: Reader) -> dict[str, follower.TopicBatch]:
-        """Returns what the next word to another one says, by topic."""
+    def next_batches(self, other: Reader) -> dict[str, follower.TopicBatch]:
+        """Returns the batches of the next relay message, by topic."""
         known = self._known[other]
-        return {b.topic: b for b in self._beliefs.changes_since(known)}
+        return {b.topic: b for b in self._state.changes_since(known)}
 
-    def _speak(
+    def _send_once(
         self, other: Reader, known: cluster_state.Offsets
     ) -> cluster_state.Offsets:
-        batches = self._beliefs.changes_since(known)
-        reached = self._beliefs.offsets()
-        other.beliefs.apply_relayed(batches)
-        behind = other.beliefs.is_behind(batches)
-        self._known[other] = other.beliefs.offsets() if behind else reached
-        return other.beliefs.offsets() if behind else ()
+        batches = self._state.changes_since(known)
+        reached = self._state.offsets()
+        other.state.apply_relayed(batches)
+        is_behind = other.state.is_behind(batches)
+        self._known[other] = other.state.offsets() if is_behind else reached
+        return other.state.offsets() if is_behind else ()
--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -27,14 +27,14 @@
 
 
 async def _make_pair(platform_log):
-    """Returns one that reads, one that it has told, and how it tells."""
+    """Returns an instance that reads, one it relays to, and the relay."""
     reader = cluster_state_support.Reader(platform_log)
-    told = cluster_state_support.Reader(platform_log)
-    teller = cluster_state_support.Teller(reader)
+    receiver = cluster_state_support.Reader(platform_log)
+    relay = cluster_state_support.Relay(reader)
     await reader.read()
-    await told.read()
-    teller.tell(told)
-    return reader, told, teller
+    await receiver.read()
+    relay.send(receiver)
+    return reader, receiver, relay
 
 
 def _add(platform_log, topic, key, value):
@@ -51,114 +51,114 @@
 
 
 def _is_staying(reader, name) -> bool:
-    """Whether a server gets new work as one that goes on."""
+    """Whether a server is expected to stay and gets new work."""
     server = reader.book.get(ids.ServerId(name))
     now_s = clock.SystemClock().monotonic_s()
     return server is not None and reader.book.is_staying(server, now_s)
 
 
-async def test_an_entry_that_cannot_be_read_names_no_server_to_use(
+async def test_an_invalid_entry_makes_its_server_unusable(
     platform_log,
 ):
-    """What it held before may still be held, as of one that left."""
-    reader, told, teller = await _make_pair(platform_log)
+    """Keys that it owned may still be leased, as for a server that left."""
+    reader, receiver, relay = await _make_pair(platform_log)
     _add(platform_log, "servers", "b", b"rapor")
     _add(platform_log, "servers", "a", b"bad")
     await reader.read()
-    teller.tell(told)
-    for each in (reader, told):
+    relay.send(receiver)
+    for each in (reader, receiver):
         assert not _is_staying(each, "a")
         assert _is_staying(each, "b")
-        # It is gone from the list, not known to have ended.
+        # Its entry was removed, but it is not known to have ended.
         assert each.knows("a")
         assert not each.book.has_ended(ids.ServerId("a"))
     _add(platform_log, "servers", "a", b"rapor")
     await reader.read()
-    teller.tell(told)
+    relay.send(receiver)
     assert _is_staying(reader, "a")
-    assert _is_staying(told, "a")
+    assert _is_staying(receiver, "a")
 
 
-async def test_what_one_reads_the_others_are_told(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_changes_that_one_instance_reads_are_relayed(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     _add(platform_log, "servers", "b", b"rapor")
     _add(platform_log, "servers", "a", b"rapor")
     _add(platform_log, "configuration", "config", b"2")
     await reader.read()
-    listed = teller.news(told)["servers"]
+    listed = relay.next_batches(receiver)["servers"]
     assert [record.key for record in listed.records] == ["b"]
-    teller.tell(told)
-    assert told.knows("b")
-    assert told.versions == [1, 2]
+    relay.send(receiver)
+    assert receiver.knows("b")
+    assert receiver.versions == [1, 2]
 
 
-async def test_a_warm_up_that_runs_off_is_not_told(platform_log):
-    reader, told = (
+async def test_a_decreasing_warm_up_time_is_not_relayed(platform_log):
+    reader, receiver = (
         cluster_state_support.Reader(platform_log),
         cluster_state_support.Reader(platform_log),
     )
-    teller = cluster_state_support.Teller(reader)
+    relay = cluster_state_support.Relay(reader)
     _add(platform_log, "servers", "b", b"rapor 3000")
     await reader.read()
-    await told.read()
-    teller.tell(told)
+    await receiver.read()
+    relay.send(receiver)
     _add(platform_log, "servers", "b", b"rapor 2100")
     await reader.read()
-    news = teller.news(told)
-    assert news["servers"].next_offset == 3
-    assert not any(batch.records for batch in news.values())
+    batches = relay.next_batches(receiver)
+    assert batches["servers"].next_offset == 3
+    assert not any(batch.records for batch in batches.values())
 
 
-async def test_a_server_that_turns_cold_again_is_told(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_a_new_warm_up_is_relayed(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     _add(platform_log, "servers", "a", b"rapor 3000")
     await reader.read()
-    teller.tell(told)
-    server = told.book.get(ids.ServerId("a"))
+    relay.send(receiver)
+    server = receiver.book.get(ids.ServerId("a"))
     assert server is not None
     assert server.cold_until_s > clock.SystemClock().monotonic_s() + 2.0
 
 
-async def test_news_that_were_missed_are_told_again(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_missed_changes_are_relayed_again(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     for name in "bcdefghij":
         _add(platform_log, "servers", name, b"rapor")
         await reader.read()
-        teller.lose(told)
-    teller.tell(told)
-    assert all(told.knows(name) for name in "abcdefghij")
+        relay.lose(receiver)
+    relay.send(receiver)
+    assert all(receiver.knows(name) for name in "abcdefghij")
 
 
-async def test_news_told_again_change_nothing(platform_log):
-    reader, told, _ = await _make_pair(platform_log)
-    known = told.beliefs.offsets()
+async def test_changes_relayed_twice_have_no_effect(platform_log):
+    reader, receiver, _ = await _make_pair(platform_log)
+    known = receiver.state.offsets()
     _add(platform_log, "servers", "b", b"rapor leaving")
     await reader.read()
-    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
-    early_word = reader.beliefs.changes_since(known)
+    receiver.state.apply_relayed(reader.state.changes_since(known))
+    early_batches = reader.state.changes_since(known)
     _add(platform_log, "servers", "b", b"")
     await reader.read()
-    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
-    server = told.book.get(ids.ServerId("b"))
+    receiver.state.apply_relayed(reader.state.changes_since(known))
+    server = receiver.book.get(ids.ServerId("b"))
     assert server is not None
     since_s = server.leaving_since_s
     await reader.read()
-    told.beliefs.apply_relayed(reader.beliefs.changes_since(known))
-    told.beliefs.apply_relayed(early_word)
+    receiver.state.apply_relayed(reader.state.changes_since(known))
+    receiver.state.apply_relayed(early_batches)
     assert server.unlisted
     assert server.leaving_since_s == since_s
 
 
-async def test_only_the_newest_of_many_configurations_is_told(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_only_the_newest_of_many_configurations_is_relayed(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     for version in range(2, 9):
         _add(platform_log, "configuration", "config", b"%d" % version)
     await reader.read()
-    news = teller.news(told)["configuration"]
-    assert [record.value for record in news.records] == [b"8"]
+    batches = relay.next_batches(receiver)["configuration"]
+    assert [record.value for record in batches.records] == [b"8"]
 
 
-async def test_an_instance_tells_whether_it_is_weak(platform_log):
+async def test_an_instance_publishes_whether_it_is_weak(platform_log):
     reader = cluster_state_support.Reader(platform_log)
     for port, is_weak in ((1, False), (2, True)):
         listed = cluster_state.ListedInstance("entry", is_weak)
@@ -170,92 +170,92 @@
             value,
         )
     await reader.read()
-    assert {a.port for a in reader.beliefs.instances} == {1, 2}
-    assert {a.port for a in reader.beliefs.weak_instances} == {2}
+    assert {a.port for a in reader.state.instances} == {1, 2}
+    assert {a.port for a in reader.state.weak_instances} == {2}
 
 
-async def test_what_the_leader_lost_is_read_here_until_that_fails_too(
+async def test_a_topic_that_the_leader_lost_is_read_until_that_fails_too(
     platform_log,
 ):
-    reader, told, teller = await _make_pair(platform_log)
+    reader, receiver, relay = await _make_pair(platform_log)
     platform_log.away = True
     await reader.read()
-    teller.tell(told)
-    followers = [feed.follower for feed in told.beliefs._feeds]
+    relay.send(receiver)
+    followers = [feed.follower for feed in receiver.state._feeds]
     urgent = [f for f in followers if not f._is_relayed()]
     assert len(urgent) == 2
-    await told.read()
-    teller.tell(told)
+    await receiver.read()
+    relay.send(receiver)
     assert all(f._is_relayed() for f in followers)
 
 
-async def test_news_with_a_gap_are_not_taken(platform_log):
-    reader, told = (
+async def test_batches_after_a_gap_are_not_applied(platform_log):
+    reader, receiver = (
         cluster_state_support.Reader(platform_log),
         cluster_state_support.Reader(platform_log),
     )
     await reader.read()
-    await told.read()
+    await receiver.read()
     for name in "bcdef":
         _add(platform_log, "servers", name, b"rapor")
-        missed = reader.beliefs.offsets()
+        missed = reader.state.offsets()
         await reader.read()
-    news = reader.beliefs.changes_since(missed)
-    told.beliefs.apply_relayed(news)
-    assert told.beliefs.is_behind(news)
-    assert not any(told.knows(name) for name in "bcdef")
-    await told.read()
-    assert all(told.knows(name) for name in "bcdef")
+    batches = reader.state.changes_since(missed)
+    receiver.state.apply_relayed(batches)
+    assert receiver.state.is_behind(batches)
+    assert not any(receiver.knows(name) for name in "bcdef")
+    await receiver.read()
+    assert all(receiver.knows(name) for name in "bcdef")
 
 
-async def test_an_instance_that_is_told_nothing_reads_for_itself(platform_log):
-    reader, told = (
+async def test_an_instance_without_relay_messages_reads_the_log(platform_log):
+    reader, receiver = (
         cluster_state_support.Reader(platform_log),
         cluster_state_support.Reader(platform_log),
     )
     await reader.read()
-    await told.read()
-    cluster_state_support.Teller(reader).tell(told)
-    follower_ = told.beliefs.key_follower
+    await receiver.read()
+    cluster_state_support.Relay(reader).send(receiver)
+    follower_ = receiver.state.key_follower
     assert follower_._is_relayed()
     follower_.last_relay_s -= follower_._settings.relay_valid_s
     assert not follower_._is_relayed()
 
 
-async def test_only_what_changes_is_told_after_history_was_forgotten(
+async def test_only_changes_are_relayed_after_history_was_forgotten(
     platform_log,
 ):
-    reader, told, teller = await _make_pair(platform_log)
+    reader, receiver, relay = await _make_pair(platform_log)
     _add(platform_log, "servers", "b", b"rapor")
     platform_log.forget("servers")
     await reader.read()
-    listed = teller.news(told)["servers"]
+    listed = relay.next_batches(receiver)["servers"]
     assert [record.key for record in listed.records] == ["b"]
 
 
-async def test_what_one_was_told_it_can_tell_on(platform_log):
+async def test_relayed_changes_can_be_relayed_on(platform_log):
     reader, next_one, third = (
         cluster_state_support.Reader(platform_log) for _ in range(3)
     )
-    teller = cluster_state_support.Teller(reader)
+    relay = cluster_state_support.Relay(reader)
     for each in (reader, next_one, third):
         await each.read()
-    teller.tell(next_one)
+    relay.send(next_one)
     _add(platform_log, "servers", "b", b"rapor")
     _add(platform_log, "servers", "a", b"")
     _add(platform_log, "configuration", "config", b"2")
     await reader.read()
-    teller.tell(next_one)
-    # The next one leads from here on; nobody reads any more.
-    cluster_state_support.Teller(next_one).tell(third)
+    relay.send(next_one)
+    # From here on the second instance leads, and none reads the log.
+    cluster_state_support.Relay(next_one).send(third)
     assert third.knows("b")
     gone = third.book.get(ids.ServerId("a"))
     assert gone is None or gone.unlisted
     assert third.versions == [1, 2]
 
 
-async def test_what_one_appends_itself_the_others_are_told(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_own_appends_are_relayed(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     key_map = keymap.KeyMap(
         fakes.SERVICE,
         1,
@@ -265,9 +265,9 @@
     )
     record = log.KeyedRecord(fakes.SERVICE, keymap.encode(key_map))
     appended = await platform_log.append(cluster_state.KEY_TOPIC, record, 0)
-    reader.beliefs.key_follower.note_own_append(appended.offset, record)
-    teller.tell(told)
-    assert told.table.newest(fakes.SERVICE) == key_map
+    reader.state.key_follower.note_own_append(appended.offset, record)
+    relay.send(receiver)
+    assert receiver.table.newest(fakes.SERVICE) == key_map
 
 
 def _lines(reader):
@@ -275,27 +275,27 @@
     return [json.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
 
 
-async def test_logs_tell_who_told_a_configuration_and_what_was_left_aside(
+async def test_the_source_of_a_configuration_and_dropped_batches_are_logged(
     platform_log,
 ):
     reader = cluster_state_support.Reader(platform_log)
     await reader.read()
     reading_end, writing_end = os.pipe()
-    # Made last: the newest journal takes over the output of the process.
+    # Created last: the newest journal takes over the output of the process.
     journal = journals.Journal(
-        "told", journals.JournalSettings(), clock.SystemClock(), writing_end
+        "receiver", journals.JournalSettings(), clock.SystemClock(), writing_end
     )
-    told = cluster_state_support.Reader(platform_log, journal)
-    await told.read()
-    teller = cluster_state_support.Teller(reader)
-    teller.tell(told)
+    receiver = cluster_state_support.Reader(platform_log, journal)
+    await receiver.read()
+    relay = cluster_state_support.Relay(reader)
+    relay.send(receiver)
     _add(platform_log, "configuration", "config", b"2")
     await reader.read()
-    teller.tell(told)
+    relay.send(receiver)
     gap = follower.TopicBatch("configuration", 9, 10, 10, (), 0.0, False)
     for _ in range(3):
-        told.beliefs.apply_relayed((gap,))
-    lines = [e for e in _lines(reading_end) if e["instance"] == "told"]
+        receiver.state.apply_relayed((gap,))
+    lines = [e for e in _lines(reading_end) if e["instance"] == "receiver"]
     taken = [e for e in lines if e["event"] == "configuration_in_force"]
     left = [e for e in lines if e["event"] == "relay_left_aside"]
     assert [(e["version"], e["source"]) for e in taken] == [
@@ -303,39 +303,41 @@
         (2, "peer"),
     ]
     assert [(e["known_to"], e["told_from"]) for e in left] == [(2, 9)]
-    status = told.beliefs.take_topic_statuses()[1]
+    status = receiver.state.take_topic_statuses()[1]
     assert (status.next_offset, status.dropped_batch_count) == (2, 3)
     assert taken[0]["known_s_ago"] is None
-    # The line is rounded to milliseconds.
+    # The value in the log line is rounded to milliseconds.
     assert 0 <= taken[1]["known_s_ago"] <= status.longest_age_s + 0.001
     os.close(reading_end)
     os.close(writing_end)
 
 
-async def test_one_that_cannot_read_is_told_what_it_missed(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_an_instance_that_cannot_read_the_log_is_sent_what_it_missed(
+    platform_log,
+):
+    reader, receiver, relay = await _make_pair(platform_log)
     for version in range(2, 6):
         _add(platform_log, "configuration", "config", b"%d" % version)
         await reader.read()
-        # Words that are lost on the way.
-        teller.lose(told)
-    # From here on the log turns the other one away, and words arrive.
+        # These relay messages are lost.
+        relay.lose(receiver)
+    # From here on the log rejects the receiver, and relay messages arrive.
     for _ in range(4):
         await reader.read()
-        teller.tell(told)
-    assert told.versions[-1] == 5
+        relay.send(receiver)
+    assert receiver.versions[-1] == 5
 
 
-async def test_nothing_is_skipped_while_history_is_read_anew(platform_log):
-    reader, told = (
+async def test_no_change_is_skipped_while_history_is_read_anew(platform_log):
+    reader, receiver = (
         cluster_state_support.Reader(platform_log),
         cluster_state_support.Reader(platform_log),
     )
     await reader.read()
-    await told.read()
-    teller = cluster_state_support.Teller(reader)
+    await receiver.read()
+    relay = cluster_state_support.Relay(reader)
     for _ in range(3):
-        teller.tell(told)
+        relay.send(receiver)
         await reader.read()
     _add(platform_log, "configuration", "config", b"2")
     platform_log.forget("configuration")
@@ -343,33 +345,34 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(reader.read)
         await anyio.wait_all_tasks_blocked()
-        teller.tell(told)
+        relay.send(receiver)
         platform_log.may_answer_newest.set()
     assert reader.versions == [1, 2]
     for _ in range(4):
         await reader.read()
-        teller.tell(told)
-    await told.read()
-    assert told.versions == [1, 2]
+        relay.send(receiver)
+    await receiver.read()
+    assert receiver.versions == [1, 2]
 
 
 async def test_a_topic_that_the_leader_cannot_read_is_read_by_others(
     platform_log,
 ):
-    reader, told, teller = await _make_pair(platform_log)
-    teller.tell(told)
+    reader, receiver, relay = await _make_pair(platform_log)
+    relay.send(receiver)
     platform_log.away_topics.add("configuration")
     await reader.read()
-    teller.tell(told)
+    relay.send(receiver)
     waiting = {
-        feed.topic: feed.follower._is_relayed() for feed in told.beliefs._feeds
+        feed.topic: feed.follower._is_relayed()
+        for feed in receiver.state._feeds
     }
     assert not waiting["configuration"]
     assert waiting["servers"]
 
 
 async def _make_three():
-    """Returns a log, and three that know it, each by a way of its own."""
+    """Returns a log, and three instances with separate access to it."""
     shared = fakes.MemoryLog()
     _add(shared, "servers", "a", b"rapor")
     _add(shared, "configuration", "config", b"1")
@@ -381,64 +384,64 @@
     return shared, readers
 
 
-async def test_what_was_told_across_a_jump_is_told_on_as_one():
+async def test_a_batch_across_a_skipped_range_is_relayed_on_as_one():
     shared, (first, second, third) = await _make_three()
-    teller = cluster_state_support.Teller(first)
-    teller.tell(second)
+    relay = cluster_state_support.Relay(first)
+    relay.send(second)
     _add(shared, "servers", "q", b"rapor")
     await third.read()
     _add(shared, "servers", "q", b"")
     _add(shared, "servers", "b", b"rapor")
     shared.forget("servers")
     await first.read()
-    teller.tell(second)
-    cluster_state_support.Teller(second).tell(third)
-    assert dict(third.beliefs.offsets())["servers"] == 4
-    assert set(third.beliefs._list.listed) == {"a", "b"}
+    relay.send(second)
+    cluster_state_support.Relay(second).send(third)
+    assert dict(third.state.offsets())["servers"] == 4
+    assert set(third.state._list.listed) == {"a", "b"}
 
 
-async def test_one_failed_read_does_not_make_one_wait_for_a_lost_leader():
-    shared, (leader, told, _) = await _make_three()
-    teller = cluster_state_support.Teller(leader)
-    teller.tell(told)
-    leader.beliefs._log.away_topics = {"configuration"}
+async def test_one_failed_read_does_not_make_one_rely_on_a_lost_leader():
+    shared, (leader, receiver, _) = await _make_three()
+    relay = cluster_state_support.Relay(leader)
+    relay.send(receiver)
+    leader.state._log.away_topics = {"configuration"}
     await leader.read()
-    teller.tell(told)
-    told.beliefs._log.away_topics = {"configuration"}
-    await told.read()
-    told.beliefs._log.away_topics = set()
+    relay.send(receiver)
+    receiver.state._log.away_topics = {"configuration"}
+    await receiver.read()
+    receiver.state._log.away_topics = set()
     _add(shared, "configuration", "config", b"2")
-    mine = told.beliefs._configurations.follower
+    mine = receiver.state._configurations.follower
     for _ in range(10):
         await leader.read()
-        teller.tell(told)
-        # The time until the next word passes.
+        relay.send(receiver)
+        # The time until the next relay message passes.
         mine.last_relay_s -= 0.7
         if not mine._is_relayed():
             await mine.catch_up()
-    assert told.versions == [1, 2]
+    assert receiver.versions == [1, 2]
 
 
-async def test_one_that_starts_without_the_log_is_ready_by_what_it_is_told():
+async def test_an_instance_that_starts_without_the_log_becomes_ready_by_relay():
     shared, (leader, _, _) = await _make_three()
-    leader.beliefs._log.away_topics = set(dict(leader.beliefs.offsets()))
+    leader.state._log.away_topics = set(dict(leader.state.offsets()))
     await leader.read()
     mine = fakes.PartialLog(shared)
     mine.away = True
-    fresh = cluster_state_support.Reader(mine)
-    await fresh.read()
-    cluster_state_support.Teller(leader).tell(fresh)
-    assert fresh.versions == [1]
-    assert fresh.beliefs.is_complete
+    starting = cluster_state_support.Reader(mine)
+    await starting.read()
+    cluster_state_support.Relay(leader).send(starting)
+    assert starting.versions == [1]
+    assert starting.state.is_complete
 
 
-async def test_what_fails_to_be_taken_is_taken_again():
-    shared, (leader, told, _) = await _make_three()
-    teller = cluster_state_support.Teller(leader)
-    teller.tell(told)
+async def test_a_batch_that_failed_to_be_applied_is_applied_again():
+    shared, (leader, receiver, _) = await _make_three()
+    relay = cluster_state_support.Relay(leader)
+    relay.send(receiver)
     _add(shared, "configuration", "config", b"2")
     await leader.read()
-    fails, configure = [True], told.beliefs._configure
+    fails, configure = [True], receiver.state._configure
 
     def fail_once(new):
         if fails:
@@ -446,49 +449,49 @@
             raise RuntimeError("a fault")
         configure(new)
 
-    told.beliefs._configure = fail_once
+    receiver.state._configure = fail_once
     with pytest.raises(RuntimeError):
-        teller.tell(told)
-    teller.tell(told)
-    assert told.versions == [1, 2]
+        relay.send(receiver)
+    relay.send(receiver)
+    assert receiver.versions == [1, 2]
 
 
-async def test_an_entry_that_cannot_be_read_names_none_after_a_loss_either():
+async def test_an_invalid_entry_names_no_server_after_a_loss_either():
     shared, (reader, _, _) = await _make_three()
     _add(shared, "servers", "b", b"rapor")
     _add(shared, "servers", "a", b"bad")
     for away in (set(), {"servers"}, set()):
-        reader.beliefs._log.away_topics = away
+        reader.state._log.away_topics = away
         await reader.read()
-        assert set(reader.beliefs._list.listed) == {"b"}
-        assert reader.beliefs.unreadable_counts()["servers"] >= 1
+        assert set(reader.state._list.listed) == {"b"}
+        assert reader.state.invalid_record_counts()["servers"] >= 1
 
 
-async def test_a_configuration_that_cannot_be_read_is_not_known():
+async def test_an_invalid_configuration_makes_the_age_infinite():
     shared, (reader, _, _) = await _make_three()
-    assert reader.beliefs.configuration_age_s < 1
+    assert reader.state.configuration_age_s < 1
     _add(shared, "configuration", "config", b"-1")
     await reader.read()
-    assert reader.beliefs.configuration_age_s == float("inf")
+    assert reader.state.configuration_age_s == float("inf")
     _add(shared, "configuration", "config", b"2")
     await reader.read()
-    assert reader.beliefs.configuration_age_s < 1
+    assert reader.state.configuration_age_s < 1
 
 
-async def test_a_word_that_was_held_up_is_as_old_as_it_is():
-    _, (leader, told, _) = await _make_three()
-    offsets = told.beliefs.offsets()
-    told.beliefs.apply_relayed(
-        leader.beliefs.changes_since(offsets), delay_s=3.0
+async def test_the_transit_time_of_a_message_adds_to_the_age():
+    _, (leader, receiver, _) = await _make_three()
+    offsets = receiver.state.offsets()
+    receiver.state.apply_relayed(
+        leader.state.changes_since(offsets), delay_s=3.0
     )
-    assert told.beliefs.configuration_age_s < 1
-    follower_ = told.beliefs._configurations.follower
+    assert receiver.state.configuration_age_s < 1
+    follower_ = receiver.state._configurations.follower
     follower_.as_of_s -= 60
     follower_.stop_awaiting_relay()
-    told.beliefs.apply_relayed(
-        leader.beliefs.changes_since(offsets), delay_s=3.0
+    receiver.state.apply_relayed(
+        leader.state.changes_since(offsets), delay_s=3.0
     )
-    assert 2.9 < told.beliefs.configuration_age_s < 4.0
+    assert 2.9 < receiver.state.configuration_age_s < 4.0
     assert not follower_._is_relayed()
 
 
@@ -496,20 +499,20 @@
     return set(reader.book.evacuations.domains)
 
 
-async def test_an_evacuation_is_told_like_a_configuration(platform_log):
-    reader, told, teller = await _make_pair(platform_log)
+async def test_an_evacuation_is_relayed_like_a_configuration(platform_log):
+    reader, receiver, relay = await _make_pair(platform_log)
     _add(platform_log, "configuration", "evacuate/hall-1", b"{}")
     await reader.read()
-    teller.tell(told)
-    assert _evacuated(reader) == _evacuated(told) == {"hall-1"}
+    relay.send(receiver)
+    assert _evacuated(reader) == _evacuated(receiver) == {"hall-1"}
     _add(platform_log, "configuration", "evacuate/hall-1", b"")
     await reader.read()
-    teller.tell(told)
-    assert _evacuated(reader) == _evacuated(told) == set()
-    assert told.versions == [1]
+    relay.send(receiver)
+    assert _evacuated(reader) == _evacuated(receiver) == set()
+    assert receiver.versions == [1]
 
 
-async def test_an_evacuation_that_nobody_names_any_more_is_over(platform_log):
+async def test_an_evacuation_without_a_record_has_ended(platform_log):
     reader = cluster_state_support.Reader(platform_log)
     _add(platform_log, "configuration", "evacuate/hall-1", b"{}")
     _add(platform_log, "configuration", "evacuate/hall-2", b"{}")
@@ -522,7 +525,7 @@
 
 
 @pytest.mark.parametrize("forgets", [False, True])
-async def test_what_makes_no_sense_changes_no_evacuation(platform_log, forgets):
+async def test_an_invalid_record_changes_no_evacuation(platform_log, forgets):
     reader = cluster_state_support.Reader(platform_log)
     _add(platform_log, "configuration", "evacuate/hall-1", b"{}")
     await reader.read()
@@ -532,7 +535,7 @@
         platform_log.forget("configuration")
     await reader.read()
     assert _evacuated(reader) == {"hall-1"}
-    assert reader.beliefs.unreadable_counts()["configuration"] >= 2
+    assert reader.state.invalid_record_counts()["configuration"] >= 2
     _add(platform_log, "configuration", "config", b"2")
     await reader.read()
     assert reader.versions == [1, 2]
--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -1,4 +1,4 @@
-"""What an instance does for the others, once it leads."""
+"""The background tasks of an instance for the cluster, once it leads."""
 
 import anyio
 import cluster_state_support
@@ -28,7 +28,7 @@
 
 
 class Scene:
-    """The duties of one instance, whose log holds a service with keys."""
+    """The cluster tasks of one instance, whose log lists a keyed service."""
 
     def __init__(self, platform_log: fakes.MemoryLog) -> None:
         real = clock.SystemClock()
@@ -45,13 +45,13 @@
             real,
         )
         self.lease_servers = fakes.LeaseServers()
-        self.duties = cluster_tasks.ClusterTasks(
+        self.cluster_tasks = cluster_tasks.ClusterTasks(
             cluster_tasks.ClusterTaskSettings(),
             support.INSTANCE,
             platform_log,
             self.lease_servers,
             peers.PeerClient(peers.PeerSettings(), journal, real),
-            self.reader.beliefs,
+            self.reader.state,
             self.reader.book,
             self.reader.table,
             dispatcher,
@@ -59,7 +59,7 @@
             metrics.Metrics(),
             real,
         )
-        self.reader.on_configure = self.duties.match_coordinators
+        self.reader.on_configure = self.cluster_tasks.match_coordinators
 
 
 @pytest.fixture
@@ -70,30 +70,30 @@
     return filled
 
 
-async def test_an_instance_lists_itself_as_soon_as_it_has_read_the_list(
+async def test_an_instance_lists_itself_once_it_has_read_the_list(
     platform_log,
 ):
-    """The log may turn it away for long a moment later."""
+    """A moment later the log may reject it for a long time."""
     scene = Scene(platform_log)
     async with anyio.create_task_group() as tasks:
-        scene.reader.beliefs.start(tasks)
-        scene.duties.start(tasks)
+        scene.reader.state.start(tasks)
+        scene.cluster_tasks.start(tasks)
         listed = platform_log.records[cluster_state.INSTANCE_TOPIC]
         await fakes.until(lambda: listed, 0.25)
         tasks.cancel_scope.cancel()
 
 
-async def test_keys_are_given_though_the_list_of_servers_comes_last(
+async def test_keys_are_assigned_though_the_server_list_is_read_last(
     platform_log,
 ):
     platform_log.away_topics.add("servers")
     scene = Scene(platform_log)
     async with anyio.create_task_group() as tasks:
-        scene.reader.beliefs.start(tasks)
-        scene.duties.start(tasks)
-        # It leads, and knows the configuration, before it knows a server.
-        await fakes.until(lambda: scene.duties._leadership.is_leader, 5)
-        assert scene.duties.coordinated_count == 0
+        scene.reader.state.start(tasks)
+        scene.cluster_tasks.start(tasks)
+        # It leads and knows the configuration before it knows any server.
+        await fakes.until(lambda: scene.cluster_tasks._leadership.is_leader, 5)
+        assert scene.cluster_tasks.coordinated_count == 0
         platform_log.away_topics.clear()
         await fakes.until(lambda: scene.lease_servers.holder(5) == "a", 6)
         tasks.cancel_scope.cancel()
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -130,7 +130,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         bench.list_is_fresh = False
-        bench.book.remove(ids.ServerId("a"), log_was_away=False)
+        bench.book.remove(ids.ServerId("a"), log_was_unavailable=False)
         await anyio.sleep(0.4)
         assert lease_servers.holder(KEY) == "a"
 
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -460,7 +460,7 @@
     scene = Scene(backends)
     scene.book.evacuate(
         [evacuations.EvacuationChange("hall-1", is_evacuated=True)],
-        known_s=None,
+        last_known_s=None,
     )
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
--- a/libs/bridgecross-entry/tests/test_feeds.py
+++ b/libs/bridgecross-entry/tests/test_feeds.py
@@ -1,7 +1,8 @@
-"""What an instance knows is always the topic up to its offset.
+"""What an instance knows always equals the topic up to its offset.
 
-Instances read, speak, miss words, start anew and are turned away in orders
-drawn from a seed; after each step all that each knows is compared with the log.
+Instances read, relay, miss messages, restart and are rejected by the log in
+orders drawn from a seed. After each step, all that each instance knows is
+compared with the log.
 """
 
 import random
@@ -26,13 +27,13 @@
 
 
 async def _run_all() -> None:
-    """Lets every task run until it waits for an answer."""
+    """Runs every task until it waits for an answer."""
     for _ in range(20):
         await anyio.lowlevel.checkpoint()
 
 
-class Play:
-    """One schedule."""
+class Schedule:
+    """One random schedule."""
 
     def __init__(self, seed: int, tasks) -> None:
         self._random = random.Random(seed)
@@ -47,18 +48,18 @@
         self.readers = [
             cluster_state_support.Reader(each) for each in self.logs
         ]
-        self.tellers = [
-            cluster_state_support.Teller(each) for each in self.readers
+        self.relays = [
+            cluster_state_support.Relay(each) for each in self.readers
         ]
-        # Words that are still under way, with whom they are for.
-        self.late: list[tuple] = []
+        # Batches in transit, with their receivers.
+        self.in_transit: list[tuple] = []
         self.steps = [
             *[self._put_server] * 8,
             *[self._put_configuration] * 2,
             *[self._read] * 4,
             *[self._begin_read] * 2,
             *[self._let_go] * 3,
-            *[self._tell] * 9,
+            *[self._send] * 9,
             *[self._lose] * 3,
             self._delay,
             *[self._deliver] * 2,
@@ -75,13 +76,13 @@
         self.states += 1
 
     def check(self, reader) -> None:
-        known = dict(reader.beliefs.offsets())
+        known = dict(reader.state.offsets())
         if known[SERVERS] is not None:
             newest = {
                 record.key: record.value.decode().split()
                 for record in self.shared.records[SERVERS][: known[SERVERS]]
             }
-            listed = reader.beliefs._list.listed
+            listed = reader.state._list.listed
             assert listed.keys() == {k for k, words in newest.items() if words}
             for key, server in listed.items():
                 assert server.leaving == ("leaving" in newest[key])
@@ -114,7 +115,7 @@
     async def _begin_read(self):
         index = self._pick()
         self.logs[index].holds = True
-        feed = self._random.choice(self.readers[index].beliefs._feeds)
+        feed = self._random.choice(self.readers[index].state._feeds)
         self._tasks.start_soon(feed.follower.catch_up)
 
     async def _let_go(self):
@@ -125,25 +126,25 @@
     def _pair(self):
         return self._random.sample(range(len(self.readers)), 2)
 
-    async def _tell(self):
-        teller, other = self._pair()
-        self.tellers[teller].tell(self.readers[other])
+    async def _send(self):
+        sender, other = self._pair()
+        self.relays[sender].send(self.readers[other])
 
     async def _lose(self):
-        teller, other = self._pair()
-        self.tellers[teller].lose(self.readers[other])
+        sender, other = self._pair()
+        self.relays[sender].lose(self.readers[other])
 
     async def _delay(self):
-        teller, other = self._pair()
-        reader, receiver = self.readers[teller], self.readers[other]
-        known = receiver.beliefs.offsets()
-        self.late.append((receiver, reader.beliefs.changes_since(known)))
+        sender, other = self._pair()
+        reader, receiver = self.readers[sender], self.readers[other]
+        known = receiver.state.offsets()
+        self.in_transit.append((receiver, reader.state.changes_since(known)))
 
     async def _deliver(self):
-        if self.late:
-            index = self._random.randrange(len(self.late))
-            receiver, batches = self.late.pop(index)
-            receiver.beliefs.apply_relayed(batches)
+        if self.in_transit:
+            index = self._random.randrange(len(self.in_transit))
+            receiver, batches = self.in_transit.pop(index)
+            receiver.state.apply_relayed(batches)
 
     async def _forget(self):
         self.shared.forget(self._random.choice((SERVERS, CONFIGURATION)))
@@ -153,7 +154,7 @@
         self.logs[index].let_all_go()
         self.logs[index] = fakes.PartialLog(self.shared)
         self.readers[index] = cluster_state_support.Reader(self.logs[index])
-        self.tellers[index] = cluster_state_support.Teller(self.readers[index])
+        self.relays[index] = cluster_state_support.Relay(self.readers[index])
 
     async def _turn_away(self):
         away = self._random.choice(
@@ -162,16 +163,16 @@
         self.logs[self._pick()].away_topics = set(away)
 
     async def settle(self) -> None:
-        """Lets one instance read and speak; the others read nothing."""
+        """Lets one instance read and relay; the others read nothing."""
         for each in self.logs:
             each.let_all_go()
         await _run_all()
         self.logs[0].away_topics = set()
         for _ in range(2):
             await self.readers[0].read()
-            self.tellers[0].tell(*self.readers[1:])
+            self.relays[0].send(*self.readers[1:])
         for reader in self.readers:
-            known = dict(reader.beliefs.offsets())
+            known = dict(reader.state.offsets())
             assert known[SERVERS] == len(self.shared.records[SERVERS])
             assert known[CONFIGURATION] == len(
                 self.shared.records[CONFIGURATION]
@@ -179,21 +180,21 @@
             self.check(reader)
 
 
-async def test_what_is_known_is_the_topic_up_to_the_offset():
+async def test_what_is_known_equals_the_topic_up_to_the_offset():
     states = 0
     for seed in range(SCHEDULES):
         with anyio.fail_after(SCHEDULE_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
-                play = Play(seed, tasks)
+                schedule = Schedule(seed, tasks)
                 for _ in range(STEPS):
-                    await play.step()
-                states += play.states
-                await play.settle()
+                    await schedule.step()
+                states += schedule.states
+                await schedule.settle()
     assert states == SCHEDULES * STEPS
 
 
 class Follower:
-    """A follower whose offset is set by hand."""
+    """A follower whose offset the test sets."""
 
     next_offset = 0
     age_s = 0.0
@@ -215,7 +216,7 @@
         return self.feed.since(offset)
 
 
-def test_removed_keys_are_not_kept_for_ever():
+def test_the_number_of_removed_keys_is_bounded():
     known = Known()
     known.feed.put_all([])
     for number in range(1_500):
@@ -228,7 +229,7 @@
     assert (early.first_offset, early.records) == (None, ())
 
 
-def test_one_that_knows_what_was_jumped_over_in_part_is_told_everything():
+def test_an_instance_within_a_skipped_range_is_sent_everything():
     known = Known()
     known.feed.follower.next_offset = 10
     known.feed.put_all([log.KeyedRecord("a", b"1")])
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -109,12 +109,12 @@
 
 
 def _go_and_return(book):
-    book.remove(SERVER.server_id, log_was_away=False)
+    book.remove(SERVER.server_id, log_was_unavailable=False)
     book.put(SERVER)
 
 
 def _lapse_and_return(book):
-    book.remove(SERVER.server_id, log_was_away=True)
+    book.remove(SERVER.server_id, log_was_unavailable=True)
     book.put(SERVER)
 
 
@@ -158,7 +158,7 @@
 
 def test_the_word_outlasts_that_its_server_is_forgotten(book, clock):
     book.notices.record(SERVER, LEAVING)
-    book.remove(SERVER.server_id, log_was_away=False)
+    book.remove(SERVER.server_id, log_was_unavailable=False)
     clock.now_s += 60
     book.drop_stale()
     assert book.get(SERVER.server_id) is None
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -65,7 +65,7 @@
                 peer_address=self.address,
             ),
             platform_log,
-            lambda: self.reader.beliefs.instances,
+            lambda: self.reader.state.instances,
             lambda: (),
             lambda: False,
             lambda: None,
@@ -74,7 +74,7 @@
         )
         self.relayer = relaying.Relayer(
             settings,
-            self.reader.beliefs,
+            self.reader.state,
             self.lead,
             self.wire,
             self.make_news(platform_log, real),
@@ -153,7 +153,7 @@
         for member in self.members:
             await member.reader.read()
         # As whoever takes the lead does.
-        self.leader.reader.beliefs.start_relaying()
+        self.leader.reader.state.start_relaying()
 
     def versions(self) -> list[int]:
         return [member.reader.versions[-1] for member in self.members]
@@ -173,7 +173,7 @@
         await scene.leader.tell()
     assert scene.versions() == [2, 2, 2]
     # It goes on trying to read for itself.
-    configurations = scene.leader.reader.beliefs._configurations.follower
+    configurations = scene.leader.reader.state._configurations.follower
     assert not configurations._is_relayed()
     assert configurations.is_lost
 
@@ -198,12 +198,12 @@
     await scene.members[0].reader.read()
     await scene.members[2].reader.read()
     new = scene.others[0]
-    assert not new.reader.beliefs.is_complete
+    assert not new.reader.state.is_complete
     await scene.leader.tell()
-    assert new.reader.beliefs.is_complete
+    assert new.reader.state.is_complete
     assert new.reader.knows("a")
     assert new.reader.versions == [1]
-    assert len(new.reader.beliefs.instances) == 3
+    assert len(new.reader.state.instances) == 3
 
 
 async def test_what_is_too_long_for_a_word_goes_beside_it():
@@ -227,7 +227,7 @@
     for _ in range(2):
         await scene.leader.tell()
     word = scene.leader.relayer._make_word(
-        scene.leader.reader.beliefs.offsets(), asks=True
+        scene.leader.reader.state.offsets(), asks=True
     )
     envelope = peers._ENVELOPES.encode(peers._Envelope(None, word.encoded))
     reply = other.server.answer(b"/relay", envelope)
@@ -242,16 +242,14 @@
 def _tell_late(scene, late_s, *, life=None) -> float:
     """Lets one hear a word that was under way for long; returns its age."""
     other = scene.others[0]
-    follower = other.reader.beliefs._configurations.follower
+    follower = other.reader.state._configurations.follower
     follower.as_of_s -= 60
     relay = peers.Relay(
         scene.leader.lead.claim,
         False,
         False,
         False,
-        scene.leader.reader.beliefs.changes_since(
-            other.reader.beliefs.offsets()
-        ),
+        scene.leader.reader.state.changes_since(other.reader.state.offsets()),
     )
     now_s = clock.SystemClock().monotonic_s()
     stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
@@ -277,7 +275,7 @@
 async def test_the_first_word_of_a_leader_is_of_unknown_age():
     scene = Scene()
     await scene.read()
-    follower = scene.others[0].reader.beliefs._configurations.follower
+    follower = scene.others[0].reader.state._configurations.follower
     follower.as_of_s -= 60
     await scene.leader.tell()
     assert follower.age_s > 60
--- a/libs/bridgecross-entry/tests/test_restarts.py
+++ b/libs/bridgecross-entry/tests/test_restarts.py
@@ -46,8 +46,8 @@
         self.feed.follower = follower.Follower(
             follower.FollowSettings(TOPIC, 0, 0.01),
             self.log,
-            self.list.take_all,
-            self.list.take_changes,
+            self.list.apply_all,
+            self.list.apply_changes,
             journal,
             real,
         )
--- a/libs/bridgecross-entry/tests/test_servers.py
+++ b/libs/bridgecross-entry/tests/test_servers.py
@@ -37,7 +37,7 @@
     assert not book.may_use(server, clock.now_s + 1.0)
 
 
-def test_old_news_of_a_leaving_server_leaves_less_time_to_use_it(book, clock):
+def test_a_leaving_server_in_an_old_list_is_used_for_less_time(book, clock):
     book.put(support.make_server("a"))
     book.previous_list_as_of_s = clock.now_s - 1.4
     book.put(support.make_server("a", leaving=True))
@@ -46,16 +46,18 @@
     assert not book.may_use(server, clock.now_s + 0.15)
 
 
-def test_an_entry_that_lapsed_with_the_log_gets_time_to_return(book, clock):
+def test_an_entry_that_expired_during_an_outage_gets_time_to_return(
+    book, clock
+):
     book.put(support.make_server("a"))
-    book.remove(NAME, log_was_away=True)
+    book.remove(NAME, log_was_unavailable=True)
     assert book.is_staying(_server(book), clock.now_s + 1.9)
     assert not book.is_staying(_server(book), clock.now_s + 2.1)
     book.put(support.make_server("a"))
     assert book.is_staying(_server(book), clock.now_s + 60)
 
 
-def test_an_ended_run_never_comes_back(book):
+def test_an_ended_run_never_returns(book):
     book.put(support.make_server("a"))
     book.end(NAME, "refused")
     book.put(support.make_server("a"))
@@ -65,14 +67,14 @@
 
 def test_a_server_off_the_list_is_forgotten_but_has_not_ended(book, clock):
     book.put(support.make_server("a"))
-    book.remove(NAME, log_was_away=False)
+    book.remove(NAME, log_was_unavailable=False)
     clock.now_s += 60
     book.drop_stale()
     assert book.get(NAME) is None
     assert not book.has_ended(NAME)
 
 
-def test_room_shrinks_when_requests_are_turned_away_and_grows_back(book, clock):
+def test_room_shrinks_when_requests_are_rejected_and_grows_back(book, clock):
     book.put(support.make_server("a"))
     book.set_instances(4)
     server = _server(book)
@@ -86,7 +88,7 @@
     assert server.queue.settings.slots == most
 
 
-def test_a_server_without_room_for_one_is_left_alone_for_longer(book, clock):
+def test_a_server_without_room_for_one_is_paused_for_longer(book, clock):
     book.put(support.make_server("a"))
     server = _server(book)
     pauses = []
@@ -104,18 +106,18 @@
     assert server.paused_until_s - clock.now_s < 0.2
 
 
-def test_failures_make_a_server_look_slower(book, clock):
+def test_failures_raise_the_cost_of_a_server(book, clock):
     for name in ("a", "b"):
         book.put(support.make_server(name))
-    failing, sound = _server(book), book.get(ids.ServerId("b"))
+    failing, healthy = _server(book), book.get(ids.ServerId("b"))
     for _ in range(10):
         failing.note_answer(0.01, failed=True)
-        sound.note_answer(0.1, failed=False)
-    cost = [s.cost_s("hall-1", clock.now_s) for s in (failing, sound)]
+        healthy.note_answer(0.1, failed=False)
+    cost = [s.cost_s("hall-1", clock.now_s) for s in (failing, healthy)]
     assert cost[0] > 2 * cost[1]
 
 
-def test_a_server_that_refuses_is_left_alone_but_has_not_ended(book, clock):
+def test_a_server_that_refuses_is_paused_but_has_not_ended(book, clock):
     book.put(support.make_server("a"))
     server = _server(book)
     server.note_refused(clock.now_s)
@@ -135,7 +137,7 @@
 def test_late_requests_get_a_part_of_the_even_share(
     book, instances, late_slots
 ):
-    """Also where servers are listed before the instances are counted."""
+    """Also if servers are listed before the number of instances is known."""
     book.put(support.make_server("a"))
     server = _server(book)
     book.set_instances(instances)
