--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -172,7 +172,7 @@
     def make_peer_server(self) -> peers.PeerServer:
         """Returns what answers other instances."""
         return peers.PeerServer(
-            lambda report: self._view(report.service).take(
+            lambda report: self._view(report.service).add_report(
                 report.keys, report.servers
             ),
             self._take_map,
@@ -312,11 +312,11 @@
         """Tells one coordinator."""
         key_map = self._table.newest(service)
         counter = self._dispatcher.loads.setdefault(service, load.LoadCounter())
-        keys, servers = counter.take()
+        keys, servers = counter.pop_counts()
         if key_map is None or not (keys or servers):
             return
         if key_map.coordinator == self._platform.name:
-            self._view(service).take(keys, servers)
+            self._view(service).add_report(keys, servers)
             return
         report = load.LoadReport(
             ids.InstanceId(self._platform.name),
--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -56,7 +56,7 @@
     # The limit of that wait, counted from the start of coordination.
     list_wait_max_s: float = 5.0
     # The pause before a failed append is retried.
-    log_pause_s: float = 0.1
+    log_retry_interval_s: float = 0.1
     # The share of a cold server's permitted request rate that its keys may
     # draw on average. Requests arrive at random, and those beyond the server's
     # permits are refused.
@@ -180,7 +180,7 @@
                     claimed = await self._append(self._ranges)
                 if claimed:
                     return True
-            await anyio.sleep(self._settings.log_pause_s)
+            await anyio.sleep(self._settings.log_retry_interval_s)
         return False
 
     def _may_claim(self, begun_s: float) -> bool:
@@ -444,7 +444,7 @@
         reason = "owner is leaving or lost"
         restarted = self._plan_restarts(movable, capacities)
         if restarted:
-            await self._move(tasks, restarted, "owner has restarted")
+            await self._append_moves(tasks, restarted, "owner has restarted")
             return
         if any(r.owner not in capacities for r in movable):
             load = self._loads.slow_load()
@@ -463,7 +463,7 @@
             moves = tuple(m for m in moves if self._may_move_now(m))
             reason = "owner is busier than others"
         if moves or self._lease_manager.outranked:
-            await self._move(tasks, moves, reason)
+            await self._append_moves(tasks, moves, reason)
         elif self._unrecorded_since_s is not None and not self._moving:
             await self._record_settled()
 
@@ -587,7 +587,7 @@
 
     # Executing moves.
 
-    async def _move(
+    async def _append_moves(
         self,
         tasks: anyio.abc.TaskGroup,
         moves: tuple[planner.Move, ...],
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -302,7 +302,7 @@
             if not sent_requests:
                 del self._sent_requests[server_id]
 
-    # Servers that end.
+    # Runs that end.
 
     def _start_probe(self, server: model.BackendServer) -> None:
         """Starts a probe of a server, unless one is in progress."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -40,7 +40,7 @@
     # another instance claims leadership, 0.2 s for its turn, 0.2 s to write a
     # key map, after a renewal that is up to 0.6 s old.
     lease_ms: float = 2_500.0
-    # A backend server's clock may run 2% slow.
+    # The clock of a backend server may run 2% slow.
     drift_ratio: float = 1.02
     # Covers the time between sending an order and its receipt by the server.
     expiry_margin_s: float = 0.15
--- a/libs/bridgecross-entry/src/bridgecross_entry/load.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/load.py
@@ -54,7 +54,7 @@
         self._counts[server_id] += 1
         self._busy_s[server_id] += busy_s
 
-    def take(
+    def pop_counts(
         self,
     ) -> tuple[tuple[KeyCount, ...], tuple[ServerCount, ...]]:
         """Returns the counts since the last call, and resets them."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/load_view.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/load_view.py
@@ -87,10 +87,10 @@
         self._step_answers = collections.Counter()
         self._step_busy_s: collections.defaultdict[ids.ServerId, float]
         self._step_busy_s = collections.defaultdict(float)
-        self._decayed_s: float | None = None
-        self._stepped_s: float | None = None
+        self._last_decay_s: float | None = None
+        self._last_step_s: float | None = None
 
-    def take(
+    def add_report(
         self,
         keys: tuple[load.KeyCount, ...],
         servers: tuple[load.ServerCount, ...],
@@ -107,16 +107,16 @@
         self, servers: Iterable[model.BackendServer], now_s: float
     ) -> None:
         """Decays older requests, and updates the servers' answer statistics."""
-        if self._decayed_s is None or self._stepped_s is None:
-            self._decayed_s = self._stepped_s = now_s
+        if self._last_decay_s is None or self._last_step_s is None:
+            self._last_decay_s = self._last_step_s = now_s
             return
-        passed_s = now_s - self._decayed_s
-        self._decayed_s = now_s
+        passed_s = now_s - self._last_decay_s
+        self._last_decay_s = now_s
         self._fast.decay(passed_s)
         self._slow.decay(passed_s)
-        passed_s = now_s - self._stepped_s
+        passed_s = now_s - self._last_step_s
         if passed_s >= self._settings.step_s:
-            self._stepped_s = now_s
+            self._last_step_s = now_s
             self._sum_up(servers, passed_s)
 
     def _sum_up(
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_client.py
@@ -85,7 +85,7 @@
 
     service: ids.ServiceName
     priority: int
-    due: queueing.Deadlines
+    deadlines: queueing.Deadlines
     # The only server that can serve it; None if any of the service can.
     server: model.BackendServer | None
     # Servers to which it was sent before.
@@ -266,7 +266,7 @@
         """Returns the cost of a domain as the expected wait there."""
         wait_s = self._full_wait_s(scope)
         if scope.domain != self._instance.failure_domain:
-            left_s = applicant.due.target_s - self._clock.monotonic_s()
+            left_s = applicant.deadlines.target_s - self._clock.monotonic_s()
             wait_s += self._settings.distance_ratio * max(left_s, 0.0)
         return wait_s
 
@@ -371,8 +371,8 @@
             applicant.service,
             ticket,
             applicant.priority,
-            applicant.due.target_s - now_s,
-            applicant.due.deadline_s - now_s,
+            applicant.deadlines.target_s - now_s,
+            applicant.deadlines.deadline_s - now_s,
             server.server_id if server else ids.ServerId(""),
             tuple(applicant.tried),
             may_wait,
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -60,7 +60,7 @@
 
     service: ids.ServiceName
     server: servers_lib.Server
-    place: queueing.QueueTier
+    queue_tier: queueing.QueueTier
     # Whether it occupies a slot of the service's queue besides the server's.
     is_shared: bool
     expires_s: float
@@ -201,10 +201,10 @@
         """Decides on a request that was not received before."""
         now_s = self._clock.monotonic_s()
         queue = server.queue if server is not None else pool.queue
-        due = queueing.Deadlines(
+        deadlines = queueing.Deadlines(
             now_s + request.target_in_s, now_s + request.deadline_in_s
         )
-        if queue.try_acquire(self._tier_place(request), due):
+        if queue.try_acquire(self._make_queue_tier(request), deadlines):
             return self._grant(request, pool, server, may_be_cold=True)
         is_cold = server is not None and self._is_cold(server)
         if is_cold or not request.may_wait:
@@ -215,7 +215,7 @@
         waiter = _Waiter(anyio.CancelScope(), anyio.Event(), now_s)
         self._waiters[request.ticket] = waiter
         assert self._tasks is not None  # otherwise refused before
-        self._tasks.start_soon(self._wait, request, waiter, queue, due)
+        self._tasks.start_soon(self._wait, request, waiter, queue, deadlines)
         return await self._long_poll(
             request, waiter, self._settings.long_poll_s
         )
@@ -298,11 +298,13 @@
         request: permits.Request,
         waiter: _Waiter,
         queue: queueing.TierQueue,
-        due: queueing.Deadlines,
+        deadlines: queueing.Deadlines,
     ) -> None:
         """Waits in a queue on behalf of a request."""
         with waiter.scope:
-            slot = await queue.acquire(self._tier_place(request), due)
+            slot = await queue.acquire(
+                self._make_queue_tier(request), deadlines
+            )
             if isinstance(slot, queueing.Refused):
                 wait_s = slot.retry_after_ms / 1_000
                 waiter.reply = _refuse(slot.reason, wait_s)
@@ -323,19 +325,21 @@
         if server is not None and self._is_cold(server):
             # It has become cold meanwhile, and a permit would not cover it.
             queue.release(
-                queue.settings.first_guess_s, self._tier_place(request)
+                queue.settings.first_guess_s, self._make_queue_tier(request)
             )
             wait_s = self._cold_wait_s(request.service, server)
             return _refuse("the server is warming up", wait_s)
         backoff_s = self._backoff_left_s(server) if server is not None else 0.0
         if backoff_s > 0:
             queue.release(
-                queue.settings.first_guess_s, self._tier_place(request)
+                queue.settings.first_guess_s, self._make_queue_tier(request)
             )
             return _refuse("the server wants to be left alone", backoff_s)
         if is_there:
             return self._grant(request, pool, server, may_be_cold=False)
-        queue.release(queue.settings.first_guess_s, self._tier_place(request))
+        queue.release(
+            queue.settings.first_guess_s, self._make_queue_tier(request)
+        )
         return permits.Reply(permits.Verdict.UNCOUNTED)
 
     def _grant(
@@ -356,17 +360,17 @@
                 since the request may be old.
         """
         now_s = self._clock.monotonic_s()
-        place = self._tier_place(request)
+        queue_tier = self._make_queue_tier(request)
         is_shared = server is None
         chosen = server or self._choose(
             request, pool, now_s, may_be_cold=may_be_cold
         )
         if chosen is None:
-            pool.queue.release(pool.queue.settings.first_guess_s, place)
+            pool.queue.release(pool.queue.settings.first_guess_s, queue_tier)
             return self._refuse_unavailable(request, pool)
         server = chosen
         if is_shared:
-            server.queue.take(place)
+            server.queue.take(queue_tier)
         covers_cold = may_be_cold and self._is_cold(server)
         if covers_cold:
             self._warmups.record_grant(server.listed.server_id)
@@ -374,7 +378,7 @@
             now_s + request.deadline_in_s + self._settings.expiry_margin_s
         )
         self._granted[request.ticket] = _GrantedPermit(
-            request.service, server, place, is_shared, expires_s
+            request.service, server, queue_tier, is_shared, expires_s
         )
         return permits.Reply(
             permits.Verdict.GRANTED,
@@ -445,8 +449,8 @@
             free or candidates, key=lambda s: s.cost_s(self._domain, now_s)
         )
 
-    def _tier_place(self, request: permits.Request) -> queueing.QueueTier:
-        """Returns the queue position parameters of a request."""
+    def _make_queue_tier(self, request: permits.Request) -> queueing.QueueTier:
+        """Returns the tier in which a request is queued."""
         return queueing.QueueTier(
             str(request.priority),
             request.priority,
@@ -484,10 +488,10 @@
 
     def _release(self, granted: _GrantedPermit, held_s: float) -> None:
         """Frees the slots of a permit for waiting requests."""
-        granted.server.queue.release(held_s, granted.place)
+        granted.server.queue.release(held_s, granted.queue_tier)
         if granted.is_shared:
             pool = self._pools[granted.service]
-            pool.queue.release(held_s, granted.place)
+            pool.queue.release(held_s, granted.queue_tier)
 
     def sweep(self) -> None:
         """Drops abandoned requests, and permits that were never returned."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/planner.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/planner.py
@@ -75,7 +75,7 @@
     owner: ids.ServerId
 
 
-class _Wanted(NamedTuple):
+class _TargetLoad(NamedTuple):
     """The load that a moved piece should have."""
 
     load: float
@@ -167,7 +167,7 @@
         load: The load of each key.
         servers: The capacity of each server that stays.
     """
-    bins = _fill(ranges, load, servers)
+    bins = _make_bins(ranges, load, servers)
     if not bins:
         return ()
     orphans = [r for r in ranges if r.owner not in servers]
@@ -201,7 +201,7 @@
         settings: Limits for the moves.
         limits: Thresholds above which a server is relieved.
     """
-    bins = _fill(ranges, load, servers)
+    bins = _make_bins(ranges, load, servers)
     if len(bins) < 2:  # noqa: PLR2004 (one server cannot be relieved)
         return ()
     load_sum = sum(b.load for b in bins) - _unservable_load(
@@ -224,8 +224,8 @@
         max_load = (
             limits.busy_ratio - least_busy.utilization
         ) * least_busy.capacity
-        wanted = _Wanted(min(excess, headroom), max_load)
-        piece = _choose_piece(ranges, load, busiest, wanted, settings)
+        target_load = _TargetLoad(min(excess, headroom), max_load)
+        piece = _choose_piece(ranges, load, busiest, target_load, settings)
         if piece is None:
             relievable.remove(busiest)
             continue
@@ -268,7 +268,7 @@
     return Move(key, key, largest)
 
 
-def _fill(
+def _make_bins(
     ranges: tuple[keymap.KeyRange, ...],
     load: KeyLoad,
     servers: Mapping[ids.ServerId, float],
@@ -332,7 +332,7 @@
     ranges: tuple[keymap.KeyRange, ...],
     load: KeyLoad,
     busiest: _Bin,
-    wanted: _Wanted,
+    target_load: _TargetLoad,
     settings: PlanSettings,
 ) -> tuple[int, int] | None:
     """Returns the piece of a server's ranges that comes closest to a load.
@@ -343,13 +343,13 @@
     """
     best: tuple[int, int] | None = None
     best_rank = (True, float("inf"), 0)
-    tolerance = settings.piece_tolerance_ratio * wanted.load
-    for piece in _list_pieces(ranges, load, busiest, wanted.load):
+    tolerance = settings.piece_tolerance_ratio * target_load.load
+    for piece in _list_pieces(ranges, load, busiest, target_load.load):
         weight = load.of(*piece)
-        too_much = weight > wanted.load + tolerance
-        if weight <= 0 or (too_much and weight > wanted.max_load):
+        too_much = weight > target_load.load + tolerance
+        if weight <= 0 or (too_much and weight > target_load.max_load):
             continue
-        gap = abs(wanted.load - weight)
+        gap = abs(target_load.load - weight)
         rank = (too_much, gap if gap > tolerance else 0.0, piece[1] - piece[0])
         if rank < best_rank:
             best, best_rank = piece, rank
@@ -360,7 +360,7 @@
     ranges: tuple[keymap.KeyRange, ...],
     load: KeyLoad,
     busiest: _Bin,
-    wanted: float,
+    target_load: float,
 ) -> Iterator[tuple[int, int]]:
     """Yields a server's ranges, and prefixes and suffixes with a load."""
     for key_range in ranges:
@@ -369,6 +369,6 @@
         first, last = key_range.first_key, key_range.last_key
         yield first, last
         weight = load.of(first, last)
-        if weight > wanted and first < last:
-            yield first, load.cut(first, last, wanted)
-            yield load.cut(first, last, weight - wanted) + 1, last
+        if weight > target_load and first < last:
+            yield first, load.cut(first, last, target_load)
+            yield load.cut(first, last, weight - target_load) + 1, last
--- a/libs/bridgecross-entry/src/bridgecross_entry/warmups.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/warmups.py
@@ -71,14 +71,14 @@
         self._own = own
         self._candidates = candidates
         self._list_age_s = list_age_s
-        self._list_settled_s = list_unchanged_s
+        self._list_unchanged_s = list_unchanged_s
 
     def is_sole_issuer(self, service: ids.ServiceName, domain: str) -> bool:
         """Whether no other instance issues permits for the servers now."""
         settings = self._settings
         if self._list_age_s() > settings.list_age_max_s:
             return False
-        if self._list_settled_s() < settings.list_stable_s:
+        if self._list_unchanged_s() < settings.list_stable_s:
             return False
         candidates = self._candidates(domain)
         if self._own not in candidates:
--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -237,7 +237,7 @@
     plan_interval_s=0.05,
     settled_write_delay_s=0.1,
     list_stable_s=0.0,
-    log_pause_s=0.01,
+    log_retry_interval_s=0.01,
 )
 
 
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -40,7 +40,7 @@
     return platform_log, lease_servers, bench
 
 
-async def test_all_keys_are_granted_and_stay_so():
+async def test_all_keys_are_granted_and_stay_granted():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY))
@@ -135,7 +135,7 @@
         assert lease_servers.holder(KEY) == "a"
 
 
-async def test_what_is_held_stays_held_while_the_log_is_away():
+async def test_ranges_stay_held_while_the_log_is_unavailable():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
@@ -158,7 +158,7 @@
     assert not lease_servers.overlaps
 
 
-async def test_an_append_whose_answer_is_lost_is_found_again():
+async def test_an_append_whose_answer_is_lost_is_recognized():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
@@ -175,7 +175,7 @@
         deadline_s = time.monotonic() + 2.0
         while lease_servers.holder(1_199) == lease_servers.holder(1_000):
             assert time.monotonic() < deadline_s
-            bench.loads.take(
+            bench.loads.add_report(
                 tuple(load.KeyCount(key, 2) for key in range(1_000, 1_200)), ()
             )
             await anyio.sleep(0.05)
@@ -197,7 +197,7 @@
     assert by_owner["b"] > by_owner["a"]
 
 
-async def test_a_follower_starts_again_when_history_is_forgotten():
+async def test_a_follower_reloads_when_log_history_is_truncated():
     class ForgetfulLog(fakes.MemoryLog):
         async def read(self, topic, offset, wait_ms):
             return log.Forgotten()
@@ -413,10 +413,10 @@
         # Grants of ranges on which a prior holder still ran requests.
         self.conflicting_grants: list[str] = []
 
-    def begin_work(self, name: str) -> None:
+    def begin_request(self, name: str) -> None:
         self.busy[name] = anyio.Event()
 
-    def end_work(self, name: str) -> None:
+    def end_request(self, name: str) -> None:
         self.busy.pop(name).set()
 
     async def grant(self, server, first_key, last_key, *rest: object):
@@ -499,20 +499,20 @@
     platform_log, working, bench = _make_working(*"abcd")
     async with _running(bench):
         await fakes.until(lambda: working.holder(KEY) == "a")
-        working.begin_work("a")
+        working.begin_request("a")
         second = await _evacuate(bench, working, "a")
         await _adopt_late_append(platform_log, bench)
         late_s = time.monotonic()
-        working.end_work("a")
+        working.end_request("a")
         await fakes.until(lambda: working.holder(KEY) == second)
-        working.begin_work(second)
+        working.begin_request(second)
         await anyio.sleep(late_s + 0.8 - time.monotonic())
         third = await _evacuate(bench, working, second)
         working.replaced.add(third)
         bench.book.end(ids.ServerId(third), "another server has its address")
         await anyio.sleep(late_s + 1.6 - time.monotonic())
         assert not working.conflicting_grants
-        working.end_work(second)
+        working.end_request(second)
         await fakes.until(lambda: working.holder(KEY) not in {None, second})
     assert not working.conflicting_grants
 
@@ -571,13 +571,13 @@
         bench.book.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: working.holder(KEY) == "a")
-        working.begin_work("a")
+        working.begin_request("a")
         second = await _evacuate(bench, working, "a")
         platform_log.slow_s = 0.2
         other = next(n for n in "bcd" if n != second)
         bench.book.put(support.make_server(other, leaving=True))
         await anyio.sleep(0.1)
-        working.end_work("a")
+        working.end_request("a")
         await fakes.until(lambda: working.holder(KEY) == second)
         platform_log.slow_s = 0.0
         asked_count = len(working.released("a"))
@@ -600,7 +600,7 @@
         version = _complete_late_append(platform_log, bench)
         coordinating._lease_manager.outranked.add(owner)
         async with anyio.create_task_group() as tasks:
-            await coordinating._move(tasks, (), "test")
+            await coordinating._append_moves(tasks, (), "test")
             tokens = {r.token for r in coordinating._ranges if r.owner == owner}
             assert (
                 version in tokens
--- a/libs/bridgecross-entry/tests/test_leases.py
+++ b/libs/bridgecross-entry/tests/test_leases.py
@@ -312,7 +312,7 @@
 
 
 # A single pause of the host skipped the renewal of each server's first range.
-async def test_a_renewal_withdrawn_for_time_alone_is_given_again(lead):
+async def test_a_renewal_withdrawn_for_lack_of_time_is_retried(lead):
     time_source = support.ManualClock()
     paused = PausedHostServers(time_source, 0.04)
     paused.pauses_max_count = 1
--- a/libs/bridgecross-entry/tests/test_load_view.py
+++ b/libs/bridgecross-entry/tests/test_load_view.py
@@ -18,7 +18,7 @@
 def test_faster_servers_have_more_capacity():
     view = _view()
     counts = (load.ServerCount(A, 40, 1.6), load.ServerCount(B, 40, 3.2))
-    view.take((), counts)
+    view.add_report((), counts)
     view.advance(SERVERS, 1.0)
     capacities = view.capacities(SERVERS)
     assert capacities[A] > 1.5 * capacities[B]
@@ -30,7 +30,7 @@
     for step in range(1, 8):
         # 4 slots x 0.5 s allow 40 answers of 0.05 s each; with 20 requests
         # present at a time, each takes 0.25 s including its wait.
-        view.take((), (load.ServerCount(A, 40, 40 * 0.25),))
+        view.add_report((), (load.ServerCount(A, 40, 40 * 0.25),))
         view.advance(SERVERS, step * 0.5)
     assert view.capacities(SERVERS)[A] == pytest.approx(80, rel=0.1)
 
@@ -38,7 +38,7 @@
 def test_a_hot_key_shows_within_a_second_and_fades():
     view = _view()
     for step in range(1, 5):
-        view.take((load.KeyCount(7, 25),), ())
+        view.add_report((load.KeyCount(7, 25),), ())
         view.advance(SERVERS, step * 0.25)
     assert view.fast_load().hottest_key == 7
     assert view.fast_load().of(7, 7) > 50
@@ -50,6 +50,6 @@
 def test_load_is_right_before_the_window_is_full():
     view = _view()
     for step in range(1, 5):
-        view.take((load.KeyCount(7, 25),), ())
+        view.add_report((load.KeyCount(7, 25),), ())
         view.advance(SERVERS, step * 0.25)
     assert view.slow_load().of(7, 7) == pytest.approx(100, rel=0.2)
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -54,7 +54,7 @@
             lambda _: self.is_sole_issuer,
         )
 
-    def cool(self, *names: str) -> None:
+    def make_cold(self, *names: str) -> None:
         """Makes servers cold for a minute."""
         service = model.Service(
             RAPOR, 130, False, 0, warmup_ms=3_000, warmup_rate_per_s=RATE_PER_S
@@ -332,7 +332,7 @@
 
 
 async def test_a_cold_server_gets_few_permits(scene):
-    scene.cool("a", "b")
+    scene.make_cold("a", "b")
     replies = []
     for number in range(10):
         reply = await scene.ask(str(number), may_wait=False)
@@ -349,7 +349,7 @@
 
 
 async def test_warm_servers_get_the_requests_that_cold_ones_may_not(scene):
-    scene.cool("a")
+    scene.make_cold("a")
     granted = []
     for number in range(20):
         reply = await scene.ask(str(number), may_wait=False)
@@ -360,7 +360,7 @@
 
 
 async def test_a_cold_owner_is_not_waited_for(scene):
-    scene.cool("a")
+    scene.make_cold("a")
     for number in range(COLD_COUNT):
         reply = await scene.ask(str(number), server="a")
         assert reply.covers_cold
@@ -369,7 +369,7 @@
 
 
 async def test_no_cold_server_gets_permits_without_a_sole_issuer(scene):
-    scene.cool("a", "b")
+    scene.make_cold("a", "b")
     scene.is_sole_issuer = False
     refused = await scene.ask("owner", server="a")
     assert refused.verdict is permits.Verdict.REFUSED
@@ -385,7 +385,7 @@
         await scene.ask(str(number))
     waiting = await scene.ask("waits")
     assert waiting.verdict is permits.Verdict.WAITING
-    scene.cool("a", "b")
+    scene.make_cold("a", "b")
     scene.return_permit("0")
     await anyio.sleep(0.01)
     reply = await scene.ask("waits")
@@ -397,7 +397,7 @@
     await scene.fill("a")
     waiting = await scene.ask("waits", server="a")
     assert waiting.verdict is permits.Verdict.WAITING
-    scene.cool("a")
+    scene.make_cold("a")
     scene.return_permit("a-0")
     await anyio.sleep(0.01)
     reply = await scene.issuer._long_poll(
@@ -408,7 +408,7 @@
 
 async def test_a_refused_connection_makes_the_server_cold_for_all(scene):
     """The next server to answer there has just started."""
-    scene.cool()
+    scene.make_cold()
     await scene.ask("one", server="a")
     scene.return_permit("one", permits.Outcome.REFUSED)
     known = scene.book.get(A)
