--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -204,4 +204,4 @@
         self.book.configure(new.services)
         self.dispatcher.configure(new)
         self.on_configuration(new)
-        self.duties.match_coordinators()
+        self.duties.update_coordinators()
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -1,7 +1,8 @@
-"""What instances do for one another: the leader's duties and the others'.
+"""The background tasks of an instance for the whole cluster.
 
-The leader reads the log for all and coordinates the services divided by key.
-Every instance lists itself, takes the leader's word, and reports its load.
+Every instance lists itself, applies what the leader relays, and reports its
+load. The leader also reads the log for all, removes lost instances from the
+list, and coordinates the services whose keys are owned by servers.
 """
 
 from collections.abc import Callable
@@ -39,25 +40,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterTaskSettings:
-    """How often duties are done."""
+    """The timing of the tasks."""
 
-    # How often load is reported: a hot key is seen after two reports.
+    # The interval of load reports. A hot key is detected after two reports.
     report_interval_s: float = 0.25
-    # Reports that a coordinator gets in a second at most. One costs about
-    # 0.4 ms there; 360 of them held up all else on 0.43 cores.
+    # The maximum number of reports that a coordinator gets per second.
+    # Processing one takes about 0.4 ms; 360 of them delayed everything else on
+    # 0.43 cores.
     reports_max_per_s: float = 90.0
-    # Ends of moves are gathered for this long before peers are told: requests
-    # wait for them, and moves come in groups.
-    settled_wait_s: float = 0.005
-    # How often an instance looks whether it is on the list of instances.
+    # Completed moves are collected for this long before they are sent to the
+    # peers together: requests wait for them, and moves come in groups.
+    settled_batch_s: float = 0.005
+    # How often an instance checks whether it is on the list of instances.
     register_interval_s: float = 0.5
-    # An instance that has not answered the leader for this long is taken off
-    # the list; restarts take about a second, cuts some.
+    # An instance that has not answered the leader for this long is removed from
+    # the list. Restarts take about a second, and network failures some seconds.
     peer_lost_s: float = 20.0
 
 
 class ClusterTasks:
-    """What this instance does for others, and hears from them."""
+    """Runs this instance's tasks for the cluster and handles peer messages."""
 
     def __init__(
         self,
@@ -66,7 +68,7 @@
         log: logs.PlatformLog,
         lease_client: attempts.LeaseClient,
         peer_client: peers.PeerClient,
-        held: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         book: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         dispatcher: dispatch.Dispatcher,
@@ -74,27 +76,27 @@
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        """Does nothing yet.
+        """Initializes the tasks without starting them.
 
         Args:
-            settings: How often duties are done.
+            settings: The timing of the tasks.
             instance: This instance.
             log: The platform's log.
-            lease_client: Gives orders to backend servers.
+            lease_client: Sends orders to backend servers.
             peer_client: Calls other instances.
-            held: What this instance believes.
+            state: The cluster state of this instance.
             book: The backend servers.
             table: The key maps.
             dispatcher: Counts the load of this instance.
-            journal: Told of decisions.
+            journal: Receives lines about decisions.
             metrics: Counts orders.
-            clock: For intervals.
+            clock: Measures intervals.
         """
         self._settings = settings
         self._platform = instance
         self._log = log
         self._lease_client = lease_client
-        self._beliefs = held
+        self._state = state
         self._book = book
         self._table = table
         self._dispatcher = dispatcher
@@ -106,10 +108,10 @@
             leadership.LeadershipSettings(),
             instance,
             log,
-            lambda: self._beliefs.instances,
-            lambda: self._beliefs.weak_instances,
-            lambda: held.list_is_fresh and not held.list_is_lost,
-            self._take_lead,
+            lambda: self._state.instances,
+            lambda: self._state.weak_instances,
+            lambda: state.list_is_fresh and not state.list_is_lost,
+            self._handle_lead_change,
             journal,
             clock,
         )
@@ -128,10 +130,10 @@
         self.poison_broadcast.on_ended_elsewhere = (
             dispatcher.watch.note_ended_elsewhere
         )
-        held.on_refused = self.poison_broadcast.load_record
+        state.on_refused = self.poison_broadcast.load_record
         self._relayer = relaying.Relayer(
             relaying.RelaySettings(),
-            held,
+            state,
             self._leadership,
             self._peer_client,
             self.poison_broadcast,
@@ -141,51 +143,51 @@
         )
         self._views: dict[ids.ServiceName, load_view.LoadView] = {}
         self._coordinators: dict[ids.ServiceName, anyio.CancelScope] = {}
-        # Moves that have ended, and of which peers are told soon.
+        # Completed moves that are yet to be sent to the peers.
         self._settled: list[peers.Settled] = []
         self._tasks: anyio.abc.TaskGroup
         self._stopping = False
 
     @property
     def coordinated_count(self) -> int:
-        """The services that this instance coordinates."""
+        """The number of services that this instance coordinates."""
         return len(self._coordinators)
 
     @property
     def may_order(self) -> bool:
-        """Whether this instance leads for certain at this moment."""
+        """Whether this instance certainly leads now and may issue orders."""
         return self._leadership.may_order
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts all duties."""
+        """Starts all tasks."""
         self._tasks = tasks
         for work in (
             self._leadership.run,
             self._keep_registered,
             self._relayer.run,
-            self._match_on_news,
+            self._update_coordinators_on_change,
             self._report_load,
         ):
             tasks.start_soon(tasks_lib.keep_running, work, self._journal)
         self.poison_broadcast.start(tasks)
 
     def make_peer_server(self) -> peers.PeerServer:
-        """Returns what answers other instances."""
+        """Creates the handler of messages from other instances."""
         return peers.PeerServer(
             lambda report: self._view(report.service).take(
                 report.keys, report.servers
             ),
-            self._take_map,
-            self._take_settled,
+            self._apply_map,
+            self._mark_settled,
             self._relayer.receive,
             self._journal,
         )
 
     async def hand_over_lead(self) -> None:
-        """Lets another instance lead; goes on coordinating until it does.
+        """Resigns the lead, but coordinates until another instance leads.
 
-        It stays on the list of instances. Most stops are restarts; the leader
-        takes off whoever does not come back.
+        The instance stays on the list of instances, since most stops are
+        restarts. The leader removes those that do not return.
         """
         self._stopping = True
         self._relayer.resigns = True
@@ -193,20 +195,21 @@
             self._leadership.resign()
             await self._relayer.broadcast(self._tasks)
 
-    async def _match_on_news(self) -> None:
-        """Starts coordinators once enough is known, in whatever order.
+    async def _update_coordinators_on_change(self) -> None:
+        """Starts coordinators once all they depend on is known.
 
-        The lead, the configuration and the list of servers may come one after
-        another; the last of them says nothing of the others.
+        The lead, the configuration and the list of servers may arrive in any
+        order, and the arrival of the last one does not show that the others are
+        known. So all of them are checked on each update.
         """
         while True:
-            await self._beliefs.updated.wait(self._settings.register_interval_s)
-            self.match_coordinators()
+            await self._state.updated.wait(self._settings.register_interval_s)
+            self.update_coordinators()
 
-    def match_coordinators(self) -> None:
-        """Starts and stops coordinators as this instance leads or not."""
-        configuration = self._beliefs.configuration
-        if configuration is None or not self._beliefs.is_complete:
+    def update_coordinators(self) -> None:
+        """Starts or stops coordinators to match whether this instance leads."""
+        configuration = self._state.configuration
+        if configuration is None or not self._state.is_complete:
             return
         wanted = {
             service.name
@@ -220,10 +223,10 @@
         for service in self._coordinators.keys() - wanted:
             self._coordinators[service].cancel()
 
-    # Telling and hearing.
+    # Messages to and from other instances.
 
     async def _keep_registered(self) -> None:
-        """Keeps this instance on the list, and those that are gone off it."""
+        """Keeps this instance on the list; as the leader, removes lost ones."""
         own = self._platform.peer_address
         is_weak = leadership.LeadershipSettings().is_weak(self._platform)
         listed = cluster_state.ListedInstance(
@@ -233,23 +236,23 @@
             str(own), cluster_state.INSTANCES.encode(listed)
         )
         while not self._stopping:
-            self._set_instances()
-            known = self._beliefs.knows_instances
+            self._update_instance_count()
+            known = self._state.knows_instances
             known = known or self._platform.is_first_start
-            missing = known and own not in self._beliefs.instances
+            missing = known and own not in self._state.instances
             if missing and await self._log.put(
                 cluster_state.INSTANCE_TOPIC, record
             ):
-                self._beliefs.instances.add(own)
+                self._state.instances.add(own)
             if self._leadership.is_leader:
                 await self._drop_lost_peers()
                 await self.poison_broadcast.remove_old_records()
-            # The first look comes at once: the log may turn this instance away
-            # a moment later, and nobody would know of it.
-            await self._beliefs.updated.wait(self._settings.register_interval_s)
+            # The first check is made at once: a moment later the log may reject
+            # this instance, and then no other instance would know of it.
+            await self._state.updated.wait(self._settings.register_interval_s)
 
     async def _drop_lost_peers(self) -> None:
-        """Takes instances off the list that have been gone for long."""
+        """Removes instances from the list that have been lost for long."""
         for peer in self._peers():
             lost_s = self._peer_client.unresponsive_for_s(peer)
             if lost_s < self._settings.peer_lost_s:
@@ -257,50 +260,55 @@
             self._journal.decision(
                 "instance_dropped", address=str(peer), lost_s=round(lost_s, 1)
             )
-            gone = logs.KeyedRecord(str(peer), b"")
-            if await self._log.put(cluster_state.INSTANCE_TOPIC, gone):
-                self._beliefs.instances.discard(peer)
+            removal = logs.KeyedRecord(str(peer), b"")
+            if await self._log.put(cluster_state.INSTANCE_TOPIC, removal):
+                self._state.instances.discard(peer)
 
     def _peers(self) -> tuple[model.Address, ...]:
-        """Returns where the other instances listen."""
+        """Returns the peer addresses of the other instances."""
         own = self._platform.peer_address
-        return tuple(sorted(self._beliefs.instances - {own}))
+        return tuple(sorted(self._state.instances - {own}))
 
     def _rank(self, subject: poison_requests.Fingerprint) -> int:
-        """Returns how many others try a suspect request before this one."""
+        """Returns how many instances precede this one for a suspect request.
+
+        Instances try such a request in that order.
+        """
         own = str(self._platform.peer_address)
         names = [own, *map(str, self._peers())]
         return hashing.rank_by_rendezvous(subject.hex(), names).index(own)
 
-    def _set_instances(self) -> None:
-        """Divides among instances what all of them share."""
+    def _update_instance_count(self) -> None:
+        """Updates this instance's share of limits that all instances share."""
         count = len(self._peers()) + 1
         if count != self._dispatcher.instance_count:
             self._dispatcher.instance_count = count
             self._book.set_instances(count)
 
-    def _take_map(self, key_map: keymap.KeyMap) -> None:
-        """Takes a map that its coordinator pushed."""
+    def _apply_map(self, key_map: keymap.KeyMap) -> None:
+        """Applies a map that its coordinator pushed."""
         self._table.put(key_map, "peer")
 
-    def _take_settled(self, settled: tuple[peers.Settled, ...]) -> None:
-        """Takes the end of moves."""
+    def _mark_settled(self, settled: tuple[peers.Settled, ...]) -> None:
+        """Records completed moves."""
         for each in settled:
             self._table.mark_settled(*each)
 
     def _view(self, service: ids.ServiceName) -> load_view.LoadView:
-        """Returns the load of a service over all instances."""
+        """Returns the load of a service as reported by all instances."""
         return self._views.setdefault(
             service, load_view.LoadView(load_view.LoadSettings())
         )
 
     async def _report_load(self) -> None:
-        """Tells coordinators of the load that this instance sees."""
+        """Reports the load that this instance sees to the coordinators."""
         reported_s = self._clock.monotonic_s()
         while True:
             count = self._dispatcher.instance_count
-            least_s = count / self._settings.reports_max_per_s
-            await anyio.sleep(max(self._settings.report_interval_s, least_s))
+            min_interval_s = count / self._settings.reports_max_per_s
+            await anyio.sleep(
+                max(self._settings.report_interval_s, min_interval_s)
+            )
             now_s = self._clock.monotonic_s()
             window_s, reported_s = now_s - reported_s, now_s
             for service in self._table.services():
@@ -309,7 +317,7 @@
     async def _report_service(
         self, service: ids.ServiceName, window_s: float
     ) -> None:
-        """Tells one coordinator."""
+        """Reports the load of one service to its coordinator."""
         key_map = self._table.newest(service)
         counter = self._dispatcher.loads.setdefault(service, load.LoadCounter())
         keys, servers = counter.take()
@@ -329,22 +337,23 @@
 
     # Coordination.
 
-    def _take_lead(self) -> None:
-        """Takes the duties of the leader, or gives them up."""
+    def _handle_lead_change(self) -> None:
+        """Starts or stops the leader's tasks after a change of the lead."""
         if self._leadership.is_leader:
-            self._beliefs.start_relaying()
-            # The sooner the others know, the sooner orders may be given.
-            self._beliefs.updated.notify()
-        self.match_coordinators()
+            self._state.start_relaying()
+            # Orders can be issued only once a majority follows, so heartbeats
+            # are sent at once.
+            self._state.updated.notify()
+        self.update_coordinators()
 
     async def _coordinate(
         self, service: ids.ServiceName, scope: anyio.CancelScope
     ) -> None:
-        """Coordinates a service for as long as this instance leads.
+        """Coordinates a service while this instance leads.
 
-        A coordinator ends when it reads of another's map. That may be one of
-        an earlier leader, whose append was done late; then the next one goes
-        on from it.
+        A coordinator ends when it reads a map of another one. That map may be
+        from a previous leader whose append was delayed; then a new coordinator
+        continues from it.
         """
         try:
             with scope:
@@ -360,7 +369,7 @@
     def _make_coordinator(
         self, service: ids.ServiceName
     ) -> coordinator.Coordinator:
-        """Returns a coordinator of a service."""
+        """Creates a coordinator of a service."""
         keeper = leases.LeaseManager(
             service,
             leases.LeaseSettings(),
@@ -379,48 +388,48 @@
             self._platform,
             self._log,
             cluster_state.KEY_TOPIC,
-            self._beliefs.key_follower,
+            self._state.key_follower,
             keeper,
             self._book,
             self._table,
             self._view(service),
-            lambda: self._beliefs.list_is_fresh,
-            self._publish_map,
-            lambda key_range: self._publish_settled(service, key_range),
+            lambda: self._state.list_is_fresh,
+            self._push_map,
+            lambda key_range: self._schedule_settled(service, key_range),
             self._journal,
             self._metrics,
             self._clock,
         )
 
-    async def _publish_map(self, key_map: keymap.KeyMap) -> None:
-        """Tells all peers of a new map."""
+    async def _push_map(self, key_map: keymap.KeyMap) -> None:
+        """Sends a new map to all peers."""
         encoded = peers.encode_map(key_map)
-        await self._tell_peers(
+        await self._send_to_peers(
             lambda peer: self._peer_client.push_map(peer, encoded)
         )
 
-    def _publish_settled(
+    def _schedule_settled(
         self, service: ids.ServiceName, key_range: keymap.KeyRange
     ) -> None:
-        """Tells all peers of the end of a move, soon."""
+        """Schedules a message about a completed move to all peers."""
         settled = peers.Settled(service, key_range.token, key_range.first_key)
         self._settled.append(settled)
         if len(self._settled) == 1:
             self._tasks.start_soon(self._push_settled)
 
     async def _push_settled(self) -> None:
-        """Tells all peers of the moves that ended within a short time."""
-        await anyio.sleep(self._settings.settled_wait_s)
+        """Sends the recently completed moves to all peers."""
+        await anyio.sleep(self._settings.settled_batch_s)
         settled = tuple(self._settled)
         self._settled.clear()
-        await self._tell_peers(
+        await self._send_to_peers(
             lambda peer: self._peer_client.push_settled(peer, settled)
         )
 
-    async def _tell_peers(
-        self, tell: Callable[[model.Address], Coroutine[Any, Any, None]]
+    async def _send_to_peers(
+        self, send: Callable[[model.Address], Coroutine[Any, Any, None]]
     ) -> None:
         """Calls every peer at the same time."""
         async with anyio.create_task_group() as calls:
             for peer in self._peers():
-                calls.start_soon(tell, peer)
+                calls.start_soon(send, peer)
--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -59,7 +59,7 @@
             metrics.Metrics(),
             real,
         )
-        self.reader.on_configure = self.cluster_tasks.match_coordinators
+        self.reader.on_configure = self.cluster_tasks.update_coordinators
 
 
 @pytest.fixture
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -4,8 +4,8 @@
 from bridgecross_entry import evacuations
 from bridgecross_entry import servers
 
-ON = evacuations.EvacuationChange("hall-1", is_evacuated=True)
-OFF = evacuations.EvacuationChange("hall-1", is_evacuated=False)
+START = evacuations.EvacuationChange("hall-1", is_evacuated=True)
+END = evacuations.EvacuationChange("hall-1", is_evacuated=False)
 KEYS_FOR_S = support.BOUNDS.evacuation_ms / 1_000 / 2
 
 
@@ -28,7 +28,7 @@
 
 
 def _usable(book, clock):
-    """Returns what may be used by requests without a key, and with one."""
+    """Returns the servers usable by requests without a key, and with one."""
     free = {
         s.listed.name
         for s in book.of_service("rapor")
@@ -42,8 +42,8 @@
     return free, keyed
 
 
-def test_requests_without_a_key_stay_away_at_once(book, clock):
-    book.evacuate([ON], clock.now_s)
+def test_requests_without_a_key_avoid_the_domain_at_once(book, clock):
+    book.evacuate([START], clock.now_s)
     assert _usable(book, clock) == ({"far"}, {"a", "far"})
     assert book.domains_of("rapor") == {"hall-2"}
 
@@ -59,35 +59,35 @@
 )
 def test_keys_are_served_while_they_move(book, clock, known_s_ago, left_s):
     known_s = None if known_s_ago is None else clock.now_s - known_s_ago
-    book.evacuate([ON], known_s)
+    book.evacuate([START], known_s)
     clock.now_s += left_s - 0.01
     assert ("a" in _usable(book, clock)[1]) == (left_s > 0)
     clock.now_s += 0.02
     assert _usable(book, clock) == ({"far"}, {"far"})
 
 
-def test_saying_it_again_gives_no_more_time(book, clock):
-    book.evacuate([ON], clock.now_s)
+def test_repeating_an_evacuation_does_not_extend_it(book, clock):
+    book.evacuate([START], clock.now_s)
     clock.now_s += KEYS_FOR_S - 0.1
-    book.evacuate([ON], clock.now_s)
+    book.evacuate([START], clock.now_s)
     clock.now_s += 0.2
     assert _usable(book, clock)[1] == {"far"}
 
 
-def test_a_domain_that_is_taken_back_is_used_again(book, clock):
-    book.evacuate([ON], clock.now_s)
+def test_a_domain_is_used_again_after_the_evacuation(book, clock):
+    book.evacuate([START], clock.now_s)
     clock.now_s += 6.0
-    book.evacuate([OFF], clock.now_s)
+    book.evacuate([END], clock.now_s)
     assert _usable(book, clock) == ({"a", "far"}, {"a", "far"})
 
 
-def test_an_unknown_domain_harms_nobody(book, clock):
-    book.evacuate([ON._replace(domain="nowhere")], clock.now_s)
+def test_an_unknown_domain_has_no_effect(book, clock):
+    book.evacuate([START._replace(domain="nowhere")], clock.now_s)
     assert _usable(book, clock) == ({"a", "far"}, {"a", "far"})
 
 
-def test_a_server_that_joins_an_evacuated_domain_gets_nothing(book, clock):
-    book.evacuate([ON], clock.now_s)
+def test_a_server_that_joins_an_evacuated_domain_gets_no_requests(book, clock):
+    book.evacuate([START], clock.now_s)
     clock.now_s += 6.0
     book.put(support.make_server("new"))
     assert _usable(book, clock) == ({"far"}, {"far"})
--- a/libs/bridgecross-entry/tests/test_follower.py
+++ b/libs/bridgecross-entry/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""How a topic is read: in what pieces, and how old what is known counts as."""
+"""Reading of a topic in parts, and the age of what is known."""
 
 import anyio
 import entry_fakes as fakes
@@ -15,7 +15,7 @@
 
 
 class WeakLink(fakes.MemoryLog):
-    """A log whose answers come too late if they hold many records."""
+    """A log whose answers are lost if they hold many records."""
 
     MAX_COUNT = 10
 
@@ -29,7 +29,7 @@
 
 
 class Known:
-    """A follower, and what it handed over."""
+    """A follower, and the records that it passed on."""
 
     def __init__(
         self, platform_log, clock_=None, wait_ms=0.0, **settings: float
@@ -41,20 +41,20 @@
                 TOPIC, wait_ms, 0.01, retry_pause_s=0.01, **settings
             ),
             platform_log,
-            self._take_all,
-            self._take,
+            self._apply_all,
+            self._apply_changes,
             support.make_journal(real),
             real,
         )
 
-    def _take_all(self, records) -> None:
+    def _apply_all(self, records) -> None:
         self.values = {record.key: record.value for record in records}
 
-    def _take(self, records) -> None:
+    def _apply_changes(self, records) -> None:
         self.values |= {record.key: record.value for record in records}
 
 
-async def test_a_backlog_that_is_too_long_for_one_answer_is_caught_up_with():
+async def test_a_backlog_too_long_for_one_answer_is_read():
     platform_log = WeakLink()
     platform_log.records[TOPIC] = [log.KeyedRecord("config", b"0")]
     known = Known(platform_log)
@@ -69,7 +69,7 @@
 
 
 class InPieces(fakes.MemoryLog):
-    """A log whose answers hold one record each."""
+    """A log whose answers hold at most one record."""
 
     async def read(self, topic, offset, wait_ms):
         result = await super().read(topic, offset, wait_ms)
@@ -78,7 +78,7 @@
         return log.Batch(result.records[:1], offset + 1, result.end)
 
 
-async def test_what_was_read_in_part_does_not_count_as_known():
+async def test_a_partial_read_does_not_reset_the_age():
     manual = support.ManualClock()
     platform_log = InPieces()
     known = Known(platform_log, manual)
@@ -96,7 +96,7 @@
 
 
 class SlowLog(fakes.MemoryLog):
-    """A log whose answers take a while by a manual clock."""
+    """A log whose answers take some time on a manual clock."""
 
     def __init__(self, manual: support.ManualClock) -> None:
         super().__init__()
@@ -117,9 +117,7 @@
         pytest.param(200.0, True, 0.3, id="came while it waited"),
     ],
 )
-async def test_what_is_known_is_as_old_as_the_question(
-    wait_ms, has_record, age_s
-):
+async def test_the_age_counts_from_the_request(wait_ms, has_record, age_s):
     manual = support.ManualClock()
     platform_log = SlowLog(manual)
     known = Known(platform_log, manual, wait_ms)
@@ -132,7 +130,7 @@
     assert known.follower.age_s == pytest.approx(age_s)
 
 
-async def test_a_read_that_ends_late_takes_back_nothing_that_was_told():
+async def test_a_late_read_does_not_undo_relayed_changes():
     platform_log = fakes.MemoryLog()
     platform_log.records[TOPIC] = [log.KeyedRecord("a", b"1")]
     known = Known(platform_log)
@@ -140,16 +138,16 @@
     platform_log.records[TOPIC].append(log.KeyedRecord("a", b"2"))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(known.follower.catch_up)
-        # The read is under way when the next two records are told.
-        told = (log.KeyedRecord("a", b"4"),)
+        # The read is in progress when the next two records are relayed.
+        relayed = (log.KeyedRecord("a", b"4"),)
         known.follower.apply_relayed(
-            follower.TopicBatch(TOPIC, 1, 4, 4, told, 0.0, is_lost=False)
+            follower.TopicBatch(TOPIC, 1, 4, 4, relayed, 0.0, is_lost=False)
         )
     assert known.values == {"a": b"4"}
     assert known.follower.next_offset == 4
 
 
-async def test_an_empty_answer_that_comes_early_is_not_of_the_future():
+async def test_an_early_empty_answer_gives_no_negative_age():
     known = Known(fakes.MemoryLog(), support.ManualClock(), 900.0)
     await known.follower.catch_up()
     await known.follower._step(900.0)
@@ -157,14 +155,14 @@
 
 
 class NothingFits(fakes.MemoryLog):
-    """A log whose answers to reads hold no record, however short."""
+    """A log in which no record fits into an answer to a read."""
 
     async def read(self, topic, offset, wait_ms):
         result = await super().read(topic, offset, wait_ms)
         return log.Batch((), offset, result.end)
 
 
-async def test_a_record_that_fits_into_no_answer_is_read_as_the_newest():
+async def test_a_record_too_long_for_an_answer_is_read_as_the_newest():
     platform_log = NothingFits()
     platform_log.records[TOPIC].append(log.KeyedRecord("a", b"1"))
     known = Known(platform_log)
@@ -176,28 +174,29 @@
 
 
 @pytest.mark.parametrize(
-    ("told_age_s", "is_lost", "waits"),
+    ("relayed_age_s", "is_lost", "waits"),
     [
         pytest.param(0.2, False, True, id="young"),
-        pytest.param(1.4, False, False, id="old, though it was told just now"),
-        # Each try is a call, and most often the log is away for all.
-        pytest.param(1.4, True, True, id="nobody reads it"),
+        pytest.param(1.4, False, False, id="old, though it was just relayed"),
+        # Each attempt costs a call, and most often no instance can reach the
+        # log.
+        pytest.param(1.4, True, True, id="no instance reads it"),
     ],
 )
-async def test_what_is_old_is_read_here_whoever_speaks(
-    told_age_s, is_lost, waits
+async def test_an_old_topic_is_read_although_it_is_relayed(
+    relayed_age_s, is_lost, waits
 ):
     manual = support.ManualClock()
     known = Known(fakes.MemoryLog(), manual, own_read_age_s=1.3)
     await known.follower.catch_up()
     manual.now_s += 60
-    batch = follower.TopicBatch(TOPIC, 0, 0, 0, (), told_age_s, is_lost)
+    batch = follower.TopicBatch(TOPIC, 0, 0, 0, (), relayed_age_s, is_lost)
     known.follower.apply_relayed(batch)
     assert known.follower._is_relayed() == waits
 
 
-async def test_what_is_overdue_is_not_waited_for_in_the_log():
-    """A record that is being appended may be missed by a read that waits."""
+async def test_an_overdue_read_does_not_block_in_the_log():
+    """A read that blocks may miss a record that is being appended."""
     waits_ms = []
 
     class Log(fakes.MemoryLog):
--- a/libs/bridgecross-entry/tests/test_keymap.py
+++ b/libs/bridgecross-entry/tests/test_keymap.py
@@ -20,7 +20,7 @@
     return keymap.KeyRange(0, keymap.LAST_KEY, owner, token)
 
 
-def test_a_part_gets_another_owner_and_the_rest_stays():
+def test_part_of_a_range_gets_another_owner():
     ranges = keymap.assign([_all_of(A, 1)], 100, 199, B, 2)
     assert ranges == (
         keymap.KeyRange(0, 99, A, 1),
@@ -29,7 +29,7 @@
     )
 
 
-def test_keys_that_the_owner_has_already_keep_their_token():
+def test_keys_that_the_owner_already_has_keep_their_token():
     ranges = keymap.assign([_all_of(A, 1)], 100, 199, A, 2)
     assert ranges == (_all_of(A, 1),)
 
@@ -48,7 +48,7 @@
         ),
     ],
 )
-def test_a_map_with_gaps_is_not_read(ranges):
+def test_a_map_with_gaps_is_rejected(ranges):
     with pytest.raises(codec.CodecError):
         keymap.decode(keymap.encode(_map(1, *ranges)))
 
@@ -67,7 +67,7 @@
     assert owner.server_id == B
 
 
-def test_a_range_on_the_move_is_settled_once_somebody_says_so():
+def test_a_moving_range_is_settled_once_it_is_marked_so():
     table = keymap.KeyTable(support.make_journal(support.ManualClock()))
     table.put(_map(2, *keymap.assign([_all_of(A, 1)], 10, 19, B, 2)), "log")
 
--- a/libs/bridgecross-entry/tests/test_restarts.py
+++ b/libs/bridgecross-entry/tests/test_restarts.py
@@ -1,8 +1,8 @@
-"""Servers that start again under their name: a name has many runs.
+"""Servers that restart under the same name: each start begins a new run.
 
-What is held, known and remembered belongs to a run. A newer start proves that
-the earlier run has ended; it does not prove that orders which were meant for
-that run have not reached the new one.
+Leases and everything known about a server belong to one run. A newer start time
+proves that the earlier run has ended; it does not prove that no order for the
+earlier run has reached the new one.
 """
 
 import contextlib
@@ -30,7 +30,7 @@
 
 
 class Listing:
-    """A list of servers as one instance follows it, from a log in memory."""
+    """One instance's list of servers, read from a log in memory."""
 
     def __init__(self) -> None:
         real = clock.SystemClock()
@@ -59,7 +59,7 @@
         )
 
     def write(self, name, *starts: int | str) -> None:
-        """Writes entries: a start each, - for none, empty for no entry."""
+        """Writes entries: a start time, "-" for none, empty for a removal."""
         for start in starts:
             record = log.KeyedRecord(name, str(start).encode())
             self.log.records[TOPIC].append(record)
@@ -68,7 +68,7 @@
         await self.feed.follower.catch_up()
 
     def used(self) -> list[str]:
-        """Returns the runs that get new work."""
+        """Returns the runs that get new requests."""
         now_s = clock.SystemClock().monotonic_s()
         of_service = self.book.of_service(ids.ServiceName("rapor"))
         return sorted(
@@ -79,45 +79,47 @@
 
 
 class Case(NamedTuple):
-    """Entries of a server, and the runs that get new work after them."""
+    """Entries of a server, and the runs that get new requests after them."""
 
     entries: list[int | str]
     used: list[str]
-    # The same if only the newest entry is read, as after a loss of the log.
-    used_after_loss: list[str]
+    # The same if only the newest entry is read, as after an outage of the log.
+    used_after_outage: list[str]
 
 
 CASES = {
     "a restart": Case([16, 32], ["a@20"], ["a@20"]),
     "two restarts in a read": Case([16, 32, 48], ["a@30"], ["a@30"]),
-    "an earlier run's entry late": Case([32, 16], ["a@20"], ["a@20"]),
-    "gone in between": Case([16, "", 32], ["a@20"], ["a@20"]),
-    # That it was gone is not seen; the newest might be an earlier run's.
-    "gone, and the clock set back": Case([32, "", 16], ["a@10"], ["a@20"]),
-    "no start, where there was one": Case([16, "-"], [], []),
+    "a late entry of an earlier run": Case([32, 16], ["a@20"], ["a@20"]),
+    "removed in between": Case([16, "", 32], ["a@20"], ["a@20"]),
+    # The removal is not seen, so the newest entry might be an earlier run's.
+    "removed, and the clock set back": Case([32, "", 16], ["a@10"], ["a@20"]),
+    "no start time, where there was one": Case([16, "-"], [], []),
     "and its own entry again": Case([16, "-", 16], ["a@10"], ["a@10"]),
-    "it begins to tell its start": Case(["-", 16], ["a@10"], ["a@10"]),
-    "it never tells a start": Case(["-", "-"], ["a"], ["a"]),
+    "it begins to report its start time": Case(["-", 16], ["a@10"], ["a@10"]),
+    "it never reports a start time": Case(["-", "-"], ["a"], ["a"]),
     "far future": Case(
         [16, 2**53 - 1], ["a@1fffffffffffff"], ["a@1fffffffffffff"]
     ),
 }
 
 
-@pytest.mark.parametrize("after_loss", [False, True])
+@pytest.mark.parametrize("after_outage", [False, True])
 @pytest.mark.parametrize("case", CASES.values(), ids=CASES)
-async def test_the_latest_run_is_used(case, after_loss):
+async def test_the_latest_run_is_used(case, after_outage):
     listing = Listing()
     listing.write("a", case.entries[0])
     await listing.read()
     listing.write("a", *case.entries[1:])
-    if after_loss:
+    if after_outage:
         listing.feed.follower.lost_since_s = 0.0
     await listing.read()
-    assert listing.used() == (case.used_after_loss if after_loss else case.used)
+    assert listing.used() == (
+        case.used_after_outage if after_outage else case.used
+    )
 
 
-async def test_each_single_read_gives_the_same_as_one_of_all():
+async def test_single_reads_give_the_same_result_as_one_read():
     for entries in itertools.product([16, 32, ""], repeat=4):
         each, whole = Listing(), Listing()
         for entry in entries:
@@ -131,7 +133,7 @@
         assert each.used() == whole.used(), entries
 
 
-async def test_what_was_seen_of_the_earlier_run_is_not_held_against_the_new():
+async def test_failures_of_the_earlier_run_do_not_affect_the_new_one():
     listing = Listing()
     listing.write("a", 16)
     await listing.read()
@@ -166,12 +168,12 @@
     assert not lease_servers.overlaps
 
 
-def _list_again(bench, started_ms=32) -> None:
-    """Lets the coordinator read that the owner has started again."""
-    _take(bench, support.make_server("a", started_ms=started_ms))
+def _list_restart(bench, started_ms=32) -> None:
+    """Lists the restarted owner, as the coordinator would read it."""
+    _apply(bench, support.make_server("a", started_ms=started_ms))
 
 
-def _take(bench, listed) -> None:
+def _apply(bench, listed) -> None:
     earlier = ids.ServerId(f"a@{listed.started_ms - 16:x}")
     bench.book.end(earlier, "it has started again")
     bench.book.put(listed)
@@ -181,12 +183,13 @@
     return max(g.token for g in lease_servers.grants if g.first <= KEY)
 
 
-async def test_keys_go_to_the_new_run_at_once_under_a_higher_token():
+async def test_the_new_run_gets_the_keys_at_once_with_a_higher_token():
     async with _running("a", "b") as (_, lease_servers, bench):
         before = _token(lease_servers)
         lease_servers.restart("a")
-        _list_again(bench)
-        # A lease lasts 0.2 s here; none is waited out.
+        _list_restart(bench)
+        # A lease lasts 0.2 s here; the coordinator does not wait for its
+        # expiry.
         await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
         await fakes.until(lambda: _token(lease_servers) > before, 0.1)
         owner = bench.table.find(fakes.SERVICE, KEY).server_id
@@ -197,7 +200,7 @@
     async with _running("a", "b") as (_, lease_servers, bench):
         for started_ms in (32, 48):
             lease_servers.restart("a")
-            _list_again(bench, started_ms)
+            _list_restart(bench, started_ms)
         await fakes.until(
             lambda: bench.table.find(fakes.SERVICE, KEY).server_id == "a@30",
             0.2,
@@ -205,32 +208,32 @@
         await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
 
 
-async def test_a_restart_that_nobody_told_of_is_healed_by_the_next_renewal():
-    """The order that was meant for the earlier run reaches the new one."""
+async def test_an_unnoticed_restart_is_repaired_by_the_next_renewal():
+    """The order intended for the earlier run reaches the new one."""
     async with _running("a", "b") as (_, lease_servers, _):
         lease_servers.restart("a")
         await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
 
 
-async def test_a_late_order_that_reached_the_new_run_is_taken_back():
-    """Its keys go elsewhere, since it leaves as soon as it is back."""
+async def test_a_late_order_that_reached_the_new_run_is_revoked():
+    """Its keys are assigned to another server, since the new run is leaving."""
     async with _running("a", "b") as (_, lease_servers, bench):
         lease_servers.restart("a")
-        # The renewal for the earlier run comes to the new one.
+        # The renewal intended for the earlier run reaches the new one.
         await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
         new = support.make_server("a", started_ms=32, leaving=True)
-        _take(bench, new)
+        _apply(bench, new)
         await fakes.until(lambda: lease_servers.holder(KEY) == "b", 1.0)
         released = [o for o in lease_servers.orders if o[0] == "release"]
         assert {order[1] for order in released} == {"a"}
 
 
-async def test_a_new_run_that_says_nothing_is_waited_for():
-    """What reached it may be held for a lease."""
+async def test_the_lease_of_a_silent_new_run_is_waited_for():
+    """An order that reached it may have granted a lease."""
     async with _running("a", "b") as (_, lease_servers, bench):
         lease_servers.silent.add("a")
         new = support.make_server("a", started_ms=32, leaving=True)
-        _take(bench, new)
+        _apply(bench, new)
         begun_s = anyio.current_time()
         await fakes.until(lambda: lease_servers.holder(KEY) == "b", 2.0)
         assert anyio.current_time() - begun_s > 0.15
@@ -243,7 +246,7 @@
         first.lead.may_order = False
         lease_servers.restart("a")
         following = fakes.Bench(platform_log, lease_servers, "entry-2")
-        # It has never seen the earlier run listed.
+        # This instance has never seen the earlier run listed.
         following.book.put(support.make_server("a", started_ms=32))
         following.book.put(support.make_server("b", started_ms=16))
         async with anyio.create_task_group() as tasks:
