--- a/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
@@ -248,7 +248,7 @@
         if isinstance(outcome, appenders.Applied):
             self._record_applied(plan, outcome)
         else:
-            self._log.warning("the assignment was not applied: {}", outcome)
+            self._log.warning("result of the assignment: {}", outcome)
 
     def _awaits_first_reports(self, view: planner.PlannerView) -> bool:
         """Returns whether the first assignment should wait for more servers.
--- a/libs/bridgecross-ownership/tests/test_cell.py
+++ b/libs/bridgecross-ownership/tests/test_cell.py
@@ -122,7 +122,7 @@
     assert isinstance(_apply(cell, 6, retire_now), appender.Applied)
 
 
-def test_earlier_fronts_are_kept_until_seated():
+def test_earlier_fronts_are_kept_until_the_newest_is_accepted():
     cell = _claimed()
     server = ids.ServerId("s1")
     _apply(cell, 1, _assignment(0, 0, {}, fronts={"s1": "a"}))
@@ -138,7 +138,7 @@
     assert cell.fronts[server].token == 3
 
 
-def test_whoever_follows_a_server_asks_its_heir_as_well():
+def test_the_next_owner_of_a_slice_asks_the_backup_as_well():
     cell = _claimed()
     backup = ids.ServerId("s9")
     fronts = {"s1": "a"}
@@ -193,7 +193,7 @@
 
 @st.composite
 def _streams(draw: st.DrawFn) -> list[records.Claim | records.Assignment]:
-    """Draws streams in which most records fit, as in real life."""
+    """Draws streams in which about half of the records are made to fit."""
     stream: list[records.Claim | records.Assignment] = [_claim(-1, "a")]
     cell = cells.Cell(SERVICE)
     _apply(cell, 0, stream[0])
@@ -211,7 +211,7 @@
 
 @hypothesis.given(stream=_streams(), cut=st.integers(0, 12))
 @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
-def test_every_reader_comes_to_the_same_state(stream, cut):
+def test_every_reader_reaches_the_same_state(stream, cut):
     whole = cells.Cell(SERVICE)
     for offset, value in enumerate(stream):
         _apply(whole, offset, value)
@@ -234,7 +234,7 @@
 
 @hypothesis.given(stream=_streams())
 @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-def test_tokens_of_a_slice_never_fall(stream):
+def test_tokens_of_a_slice_never_decrease(stream):
     cell = cells.Cell(SERVICE)
     highest = [ids.NO_TOKEN] * SLICES
     for offset, value in enumerate(stream):
--- a/libs/bridgecross-ownership/tests/test_coordinator.py
+++ b/libs/bridgecross-ownership/tests/test_coordinator.py
@@ -36,7 +36,7 @@
 
 
 class _FreshNews:
-    """A log that is always read."""
+    """A view of the log that is always up to date."""
 
     fresh_at_s = math.inf
     awaits_snapshot = False
@@ -64,7 +64,7 @@
 
 
 class _Peers:
-    """Peers that were all heard so long ago; none leaves."""
+    """Peers that have all been silent for a given time; none is leaving."""
 
     def __init__(self, silent_s: float = 0.0) -> None:
         self._silent_s = silent_s
@@ -77,7 +77,7 @@
 
 
 def _cell_after_a_second_move() -> cells.Cell:
-    """Slice 0 went to rapor-1 with token 1 and on to rapor-2 with token 2."""
+    """Slice 0 moved to rapor-1 with token 1, then to rapor-2 with token 2."""
     cell = cells.Cell(SERVICE)
     owners = ("rapor-2", "rapor-1", "rapor-1", "rapor-2")
     slices = [
@@ -134,7 +134,7 @@
 
 
 async def _coordinate(cell: cells.Cell, book: reports.ReportBook) -> None:
-    """Plans some times while no further report comes."""
+    """Runs the coordinator for 0.1 s without further reports."""
     coordinator = _make_coordinator(cell, book)
     with anyio.move_on_after(0.1):
         await coordinator.run()
@@ -171,7 +171,7 @@
 
 
 async def test_a_report_of_an_earlier_move_settles_no_later_one():
-    """Its front said so of token 1, and nothing since the move to token 2."""
+    """The front's report is of token 1, and the slice moved to token 2."""
     cell = _cell_after_a_second_move()
     book = reports.ReportBook(clocks.SystemClock())
     book.add(ids.InstanceId("b"), _report("rapor-1", settled=_slice_0(1)))
@@ -180,7 +180,7 @@
     assert cell.slices[0].prior == ("rapor-1",)
 
 
-async def test_a_bequest_of_an_earlier_token_moves_nothing():
+async def test_a_takeover_of_an_earlier_token_moves_nothing():
     cell = _cell_after_a_second_move()
     book = reports.ReportBook(clocks.SystemClock())
     book.add(ids.InstanceId("b"), _report("rapor-1", handed_over=_slice_0(1)))
@@ -198,15 +198,15 @@
     assert cell.slices[0].prior == ()
     book.add(ids.InstanceId("c"), _report("rapor-2", handed_over=_slice_0(2)))
     await _coordinate(cell, book)
-    assert cell.slices[0].token > 2, "the log gives it an owner anew"
+    assert cell.slices[0].token > 2, "the log assigns the slice again"
 
 
 QUICK = dataclasses.replace(SETTINGS, heartbeat_misses=40)
-"""An instance that is silent for 0.2 s counts as lost."""
+"""Settings by which an instance that is silent for 0.2 s counts as lost."""
 
 
 def _apply_claim(cell: cells.Cell, instance: str) -> None:
-    """Makes another instance the coordinator, as its claim in the log does."""
+    """Applies a claim that makes another instance the coordinator."""
     claim = records.Claim(SERVICE, cell.term, ids.InstanceId(instance), 4)
     offset = ids.Offset(cell.head + 1)
     envelope = log_records.Envelope(
@@ -221,14 +221,15 @@
 
 
 async def test_a_coordinator_is_not_silent_before_it_has_claimed():
-    """Three living instances took a service from one another for 7 s.
-
-    A coordinator that is lost, or is taken for lost on a busy machine, is
-    followed by another. The third heard from that one last when it coordinated
-    something before, seconds ago, since only coordinators are sent heartbeats:
-    it counted as silent at once, and was followed in turn. In a run beside
-    other work the log had terms 23, 32, 40, 58, 64, 70, 74, 81, 85, 95 and 100
-    within 3 s; each gave servers other fronts, and callers got no answers.
+    """Three live instances claimed a service from one another for 7 s.
+
+    A coordinator that is lost, or taken for lost on a busy machine, is replaced
+    by another instance. A third instance had last heard from the new one when
+    that was a coordinator before, seconds ago, because heartbeats are sent to
+    coordinators only. So the new coordinator counted as silent at once, and was
+    replaced in turn. In a run beside other work, the log had terms 23, 32, 40,
+    58, 64, 70, 74, 81, 85, 95 and 100 within 3 s. Each term gave servers other
+    fronts, and callers got no answers.
     """
     cell = _cell_after_a_second_move()
     coordinator = _make_coordinator(
@@ -247,7 +248,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_coordinator_that_stays_silent_is_followed_in_time():
+async def test_a_coordinator_that_stays_silent_is_replaced_in_time():
     cell = _cell_after_a_second_move()
     coordinator = _make_coordinator(
         cell, reports.ReportBook(clocks.SystemClock()), QUICK, _Peers(5.0)
--- a/libs/bridgecross-ownership/tests/test_fronts.py
+++ b/libs/bridgecross-ownership/tests/test_fronts.py
@@ -34,14 +34,14 @@
 
 
 class _FreshNews:
-    """A log that is always read."""
+    """A view of the log that is always up to date."""
 
     fresh_at_s = math.inf
     awaits_snapshot = False
 
 
 class _Server:
-    """A server that takes every lease until it cannot be reached."""
+    """A server that accepts every lease until it becomes unreachable."""
 
     def __init__(self) -> None:
         self.unreachable = False
@@ -58,12 +58,12 @@
 
 
 class _Others:
-    """Other instances, frozen unless they are said to live."""
+    """Other instances, which are frozen unless they are marked as live."""
 
     def __init__(self) -> None:
         self.live: set[ids.InstanceId] = {ME}
-        # Those that have nothing under way as an earlier front.
-        self.done: set[ids.InstanceId] = set()
+        # The instances that have drained as an earlier front.
+        self.drained: set[ids.InstanceId] = set()
         self.asked: list[releases.FrontDrainedQuery] = []
 
     async def await_release(
@@ -75,7 +75,7 @@
         self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
         self.asked.append(query)
-        return front in self.done
+        return front in self.drained
 
     async def has_read(
         self, instance: ids.InstanceId, offset: ids.Offset
@@ -83,10 +83,10 @@
         return instance in self.live
 
 
-class _Bench:
-    """A service of one slice, of which rapor-1 is fronted by this instance.
+class _Service:
+    """A service of one slice; this instance is the front of rapor-1.
 
-    Before it, another instance was the front, if that is asked for.
+    With ``after_another``, another instance was the front before.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         )
 
     async def ask_release(self) -> list[ids.SliceIndex]:
-        """Asks whether rapor-1 has let go of the slice, for a short while."""
+        """Asks for up to 0.5 s whether rapor-1 has released the slice."""
         wanted = leases.SliceGrant(ids.SliceIndex(0), self.cell.slices[0].token)
         query = releases.ReleaseQuery(SERVICE, SERVER, [wanted], self.cell.head)
         with anyio.move_on_after(0.5):
@@ -173,134 +173,139 @@
         assert self.cell.head == offset
 
 
-async def _run_until_cut_off(bench: _Bench, tasks) -> None:
-    """Lets the server take some leases, then cuts it off from this front."""
-    tasks.start_soon(bench.fronts.run)
-    while bench.server.accepted < 3:
+async def _run_until_cut_off(service: _Service, tasks) -> None:
+    """Lets the server accept some leases, then makes it unreachable."""
+    tasks.start_soon(service.fronts.run)
+    while service.server.accepted < 3:
         await anyio.sleep(0.005)
-    bench.server.unreachable = True
+    service.server.unreachable = True
     await anyio.sleep(0.02)
 
 
-async def test_a_front_that_missed_another_answers_for_nothing_of_its_time():
-    """What it knew of the server is older than what the other granted.
+async def test_a_front_that_missed_another_reports_nothing_as_released():
+    """This front's view of the server is older than the other's grants.
 
-    Neither the other front nor its witness answers, so it may go on.
+    Neither the other front nor its witness answers, so that front may still
+    act.
     """
-    bench = _Bench()
+    service = _Service()
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        # All of this is read at once: the other front has the server hold
-        # the slice, of which this one has never heard.
-        bench.append_front(SERVER, OTHER, "c")
-        bench.append_move("rapor-1")
-        bench.append_move("rapor-2")
-        bench.append_front(SERVER, ME)
-        bench.fronts.notify()
-        assert await bench.ask_release() == []
+        await _run_until_cut_off(service, tasks)
+        # All these records are read at once. The other front may have granted
+        # the slice to the server, which this front does not know of.
+        service.append_front(SERVER, OTHER, "c")
+        service.append_move("rapor-1")
+        service.append_move("rapor-2")
+        service.append_front(SERVER, ME)
+        service.fronts.notify()
+        assert await service.ask_release() == []
         tasks.cancel_scope.cancel()
 
 
 async def test_a_front_with_other_witnesses_goes_on():
-    bench = _Bench()
+    service = _Service()
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        manager = bench.fronts.find(SERVER)
-        bench.append_front(SERVER, ME, "c")
-        bench.fronts.notify()
-        assert await bench.ask_release() == [0], "it knows what is held"
-        assert bench.fronts.find(SERVER) is manager
+        await _run_until_cut_off(service, tasks)
+        manager = service.fronts.find(SERVER)
+        service.append_front(SERVER, ME, "c")
+        service.fronts.notify()
+        assert await service.ask_release() == [0], (
+            "the manager knows what the server holds"
+        )
+        assert service.fronts.find(SERVER) is manager
         tasks.cancel_scope.cancel()
 
 
-TRUSTING = dataclasses.replace(
+UNFENCED = dataclasses.replace(
     SETTINGS, checks_fences=False, max_deadline_ms=30_000
 )
-"""Of a service whose servers take every request, whoever sends it."""
+"""The settings of a service whose servers check no fences."""
 
 
-@pytest.mark.parametrize("becomes_done", [True, False])
-async def test_an_earlier_front_that_lives_is_asked_what_goes_on(becomes_done):
-    """Keys of a lost server were served by nobody for 29 s.
+@pytest.mark.parametrize("drains", [True, False])
+async def test_an_earlier_front_that_is_alive_is_asked_if_it_drained(drains):
+    """The keys of a lost server were not served for 29 s.
 
-    Its service's servers check no fences, so the requests of an earlier front
-    count as under way until the longest deadline of all is over, 30 s.
-    The fronts of some servers change while a house starts: cizim-1 had its
-    second at 893.7 s, was killed at 895.9 s, and its keys went to cizim-2 at
-    898.9 s, but were not served before 925.2 s, 31.5 s after the change. The
-    earlier front lived all the time and had nothing under way.
+    If servers check no fences, the requests of an earlier front count as in
+    flight until the longest possible deadline has passed, 30 s. Fronts of some
+    servers change while the instances start: cizim-1 got its second front at
+    893.7 s and was killed at 895.9 s. Its keys went to cizim-2 at 898.9 s, but
+    were not served before 925.2 s, 31.5 s after the change of the front. The
+    earlier front was alive all the time and had no request in flight.
     """
-    bench = _Bench(TRUSTING, after_another=True)
-    bench.others.live.add(OTHER)
+    service = _Service(UNFENCED, after_another=True)
+    service.others.live.add(OTHER)
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        assert await bench.ask_release() == []
-        if becomes_done:
-            bench.others.done.add(OTHER)
-        expected = [0] if becomes_done else []
-        assert await bench.ask_release() == expected
+        await _run_until_cut_off(service, tasks)
+        assert await service.ask_release() == []
+        if drains:
+            service.others.drained.add(OTHER)
+        expected = [0] if drains else []
+        assert await service.ask_release() == expected
         tasks.cancel_scope.cancel()
-    office = bench.cell.fronts[SERVER].earlier[0]
-    assert {query.front_token for query in bench.others.asked} == {office.token}
+    earlier = service.cell.fronts[SERVER].earlier[0]
+    assert {query.front_token for query in service.others.asked} == {
+        earlier.token
+    }
 
 
 async def test_an_earlier_front_of_a_server_with_fences_is_not_asked():
-    """What goes on there is the server's lease."""
-    bench = _Bench(after_another=True)
-    bench.others.live.add(OTHER)
-    bench.others.done.add(OTHER)
+    """Such a server may act until its lease ends, so asking does not help."""
+    service = _Service(after_another=True)
+    service.others.live.add(OTHER)
+    service.others.drained.add(OTHER)
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        assert await bench.ask_release() == [0], "the server holds nothing"
+        await _run_until_cut_off(service, tasks)
+        assert await service.ask_release() == [0], "the server holds nothing"
         tasks.cancel_scope.cancel()
-    assert bench.others.asked == []
+    assert service.others.asked == []
 
 
 async def _ask_drained(
-    bench: _Bench, token: ids.Token, head: ids.Offset
+    service: _Service, token: ids.Token, head: ids.Offset
 ) -> bool:
     query = releases.FrontDrainedQuery(SERVICE, SERVER, token, head)
-    return (await bench.fronts.answer_front_drained(query)).is_drained
+    return (await service.fronts.answer_front_drained(query)).is_drained
 
 
-async def test_an_office_is_over_once_nothing_of_it_can_run():
-    bench = _Bench(TRUSTING)
-    token = bench.cell.fronts[SERVER].token
+async def test_a_front_has_drained_once_none_of_its_requests_can_run():
+    service = _Service(UNFENCED)
+    token = service.cell.fronts[SERVER].token
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        manager = bench.fronts.find(SERVER)
+        await _run_until_cut_off(service, tasks)
+        manager = service.fronts.find(SERVER)
         assert manager is not None
         manager.begin_request(ids.SliceIndex(0))
         manager.begin_request(ids.SliceIndex(0))
-        bench.append_front(SERVER, OTHER)
-        bench.fronts.notify()
-        head = bench.cell.head
-        assert not await _ask_drained(bench, token, head), "two are under way"
+        service.append_front(SERVER, OTHER)
+        service.fronts.notify()
+        head = service.cell.head
+        assert not await _ask_drained(service, token, head), "two are in flight"
         manager.end_request(ids.SliceIndex(0), 0.0)
         manager.end_request(ids.SliceIndex(0), anyio.current_time() + 0.3)
-        assert not await _ask_drained(bench, token, head), "one may run on"
+        assert not await _ask_drained(service, token, head), "one may still run"
         await anyio.sleep(0.35)
-        assert await _ask_drained(bench, token, head)
+        assert await _ask_drained(service, token, head)
         tasks.cancel_scope.cancel()
 
 
-async def test_an_office_that_was_never_taken_up_is_over_once_it_is_read():
-    bench = _Bench(TRUSTING)
-    token = bench.cell.fronts[SERVER].token
+async def test_a_front_that_never_started_has_drained_once_replaced():
+    service = _Service(UNFENCED)
+    token = service.cell.fronts[SERVER].token
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        unread = ids.Offset(bench.cell.head + 1)
+        await _run_until_cut_off(service, tasks)
+        unread = ids.Offset(service.cell.head + 1)
         other = ids.Token(token + 1)
-        assert not await _ask_drained(bench, other, unread)
-        assert await _ask_drained(bench, other, bench.cell.head)
-        assert not await _ask_drained(bench, token, unread), "it is the front"
+        assert not await _ask_drained(service, other, unread)
+        assert await _ask_drained(service, other, service.cell.head)
+        assert not await _ask_drained(service, token, unread), "it is the front"
         tasks.cancel_scope.cancel()
 
 
-async def test_an_office_that_this_instance_holds_now_is_not_over():
-    bench = _Bench(TRUSTING)
-    token = bench.cell.fronts[SERVER].token
+async def test_the_present_front_has_not_drained():
+    service = _Service(UNFENCED)
+    token = service.cell.fronts[SERVER].token
     async with anyio.create_task_group() as tasks:
-        await _run_until_cut_off(bench, tasks)
-        assert not await _ask_drained(bench, token, bench.cell.head)
+        await _run_until_cut_off(service, tasks)
+        assert not await _ask_drained(service, token, service.cell.head)
         tasks.cancel_scope.cancel()
--- a/libs/bridgecross-ownership/tests/test_leases.py
+++ b/libs/bridgecross-ownership/tests/test_leases.py
@@ -10,7 +10,7 @@
 
 
 class _Server:
-    """A server's side of the lease, with a clock of its own."""
+    """The server's side of a lease, with a clock of a different rate."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
@@ -39,7 +39,7 @@
 )
 @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
 def test_no_delay_lets_a_lease_outlive_what_the_front_expects(exchanges, rate):
-    """Requests and replies are delayed, and some replies are lost."""
+    """Delays requests and replies, and loses some replies."""
     server = _Server(rate)
     term = leases.LeaseTerm(DRIFT_RATIO)
     now_s = 100.0
--- a/libs/bridgecross-ownership/tests/test_planner.py
+++ b/libs/bridgecross-ownership/tests/test_planner.py
@@ -201,7 +201,7 @@
             assert domains[witness] != domains[change.front]
 
 
-def test_an_heir_is_usable_apart_and_kept_while_it_is():
+def test_a_backup_is_usable_in_another_domain_and_kept():
     servers = {"s1": USABLE, "s2": USABLE, "s3": USABLE, "s4": UNUSABLE}
     domains = {"s1": "x", "s2": "x", "s3": "y", "s4": "y"}
     plan = _plan(
@@ -213,7 +213,7 @@
     assert [(c.server, c.backup) for c in plan.fronts] == [("s1", "s3")]
 
 
-def test_a_bequeathed_slice_gets_an_owner():
+def test_a_slice_that_was_handed_over_gets_an_owner():
     owners = ["s1", "s2"] * 4
     servers = {"s1": USABLE, "s2": USABLE}
     plan = _plan(owners, servers, handed_over=(2,))
