--- a/libs/bridgecross-entry/tests/test_log_breaker.py
+++ b/libs/bridgecross-entry/tests/test_log_breaker.py
@@ -47,24 +47,24 @@
     return log_breaker.CircuitBreaker(SETTINGS, behind, journal, clock)
 
 
-async def test_one_call_a_pause_finds_out_whether_the_log_is_back(
+async def test_one_call_per_pause_tests_whether_the_log_is_available(
     breaker, behind, clock
 ):
     behind.away = True
-    tried_s = []
+    attempts_s = []
     for _ in range(50):
         before = behind.calls
         await breaker.read_newest("topic")
         await breaker.append("topic", RECORD, 0)
         await breaker.put("topic", RECORD)
         if behind.calls > before:
-            tried_s.append(round(clock.now_s - 1_000, 1))
+            attempts_s.append(round(clock.now_s - 1_000, 1))
             assert behind.calls == before + 1
         clock.now_s += 0.1
-    assert tried_s == [0.0, 0.3, 0.9, 2.1, 3.3, 4.5]
+    assert attempts_s == [0.0, 0.3, 0.9, 2.1, 3.3, 4.5]
 
 
-async def test_an_answer_lets_all_calls_through_again(breaker, behind, clock):
+async def test_an_answer_closes_the_breaker(breaker, behind, clock):
     behind.away = True
     await breaker.read_newest("topic")
     behind.away = False
@@ -74,9 +74,7 @@
     assert await breaker.put("topic", RECORD)
 
 
-async def test_a_write_that_is_not_made_says_that_nothing_was_done(
-    breaker, behind
-):
+async def test_a_rejected_write_is_reported_as_not_made(breaker, behind):
     behind.away = True
     await breaker.read_newest("topic")
     behind.away = False
@@ -86,7 +84,7 @@
     assert not behind.records["topic"]
 
 
-async def test_a_lost_answer_to_a_write_does_not_keep_reads_away(
+async def test_a_lost_answer_to_a_write_does_not_open_the_breaker(
     breaker, behind
 ):
     behind.lose_answer = True
@@ -95,7 +93,7 @@
     assert isinstance(await breaker.read_newest("topic"), log.Newest)
 
 
-async def test_a_topic_that_is_away_says_nothing_about_another(breaker, behind):
+async def test_topics_fail_independently(breaker, behind):
     behind.away_topics = {"topic"}
     assert isinstance(await breaker.read_newest("topic"), log.Unreachable)
     assert isinstance(await breaker.read_newest("other"), log.Newest)
@@ -104,7 +102,9 @@
     assert behind.calls == calls
 
 
-async def test_writes_take_no_tries_from_reads(breaker, behind, clock):
+async def test_writes_do_not_use_up_the_attempts_of_reads(
+    breaker, behind, clock
+):
     behind.away = True
     await breaker.read("topic", 0, 0)
     behind.away = False
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -84,8 +84,8 @@
         server = support.make_server(f"s{number}")
         heard.record(server, attempts.Notice(is_leaving=True, backoff_s=0.001))
     assert heard.leaving_count == 10
-    assert len(heard._rest_until_s) == 10
-    assert ids.ServerId("s49") in heard._leaving_told_s
+    assert len(heard._backoff_until_s) == 10
+    assert ids.ServerId("s49") in heard._leaving_since_s
 
 
 DRAIN_S = support.BOUNDS.drain_ms / 1_000
@@ -109,12 +109,12 @@
 
 
 def _go_and_return(book):
-    book.remove(SERVER.server_id, log_was_away=False)
+    book.remove(SERVER.server_id, log_was_unavailable=False)
     book.put(SERVER)
 
 
 def _lapse_and_return(book):
-    book.remove(SERVER.server_id, log_was_away=True)
+    book.remove(SERVER.server_id, log_was_unavailable=True)
     book.put(SERVER)
 
 
@@ -158,7 +158,7 @@
 
 def test_the_word_outlasts_that_its_server_is_forgotten(book, clock):
     book.notices.record(SERVER, LEAVING)
-    book.remove(SERVER.server_id, log_was_away=False)
+    book.remove(SERVER.server_id, log_was_unavailable=False)
     clock.now_s += 60
     book.drop_stale()
     assert book.get(SERVER.server_id) is None
