--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -174,7 +174,7 @@
     def make_peer_server(self) -> peers.PeerServer:
         """Creates the handler of messages from other instances."""
         return peers.PeerServer(
-            lambda report: self._view(report.service).take(
+            lambda report: self._view(report.service).add_report(
                 report.keys, report.servers
             ),
             self._apply_map,
@@ -320,11 +320,11 @@
         """Reports the load of one service to its coordinator."""
         key_map = self._table.newest(service)
         counter = self._dispatcher.loads.setdefault(service, load.LoadCounter())
-        keys, servers = counter.take()
+        keys, servers = counter.pop_counts()
         if key_map is None or not (keys or servers):
             return
         if key_map.coordinator == self._platform.name:
-            self._view(service).take(keys, servers)
+            self._view(service).add_report(keys, servers)
             return
         report = load.LoadReport(
             ids.InstanceId(self._platform.name),
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -226,8 +226,8 @@
     other = scene.others[0]
     for _ in range(2):
         await scene.leader.tell()
-    word = scene.leader.relayer._make_word(
-        scene.leader.reader.state.offsets(), asks=True
+    word = scene.leader.relayer._make_relay(
+        scene.leader.reader.state.offsets(), wants_batches=True
     )
     envelope = peers._ENVELOPES.encode(peers._Envelope(None, word.encoded))
     reply = other.server.answer(b"/relay", envelope)
@@ -238,7 +238,7 @@
         (),
         True,
     )
-    assert answer.stamp.process_id == other.relayer._life
+    assert answer.stamp.process_id == other.relayer._process_id
     # It goes between failure domains after each word.
     assert len(reply.body) <= 25
 
@@ -256,7 +256,7 @@
         scene.leader.reader.state.changes_since(other.reader.state.offsets()),
     )
     now_s = clock.SystemClock().monotonic_s()
-    stamp = peers.Stamp(life or other.relayer._life, now_s - late_s - 0.5)
+    stamp = peers.Stamp(life or other.relayer._process_id, now_s - late_s - 0.5)
     other.relayer.receive(relay, peers.Echo(stamp, 0.5))
     return follower.age_s
 
