--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -205,7 +205,7 @@
         self._configure = configure
         self._journal = journal
         self._clock = clock
-        self._configuration_is_unreadable = False
+        self._configuration_is_invalid = False
         topics = (decoder.configuration_topic, KEY_TOPIC, INSTANCE_TOPIC)
         self._invalid_records = {
             topic: invalid_records.InvalidRecords(topic, journal)
@@ -254,7 +254,7 @@
     def _follow(
         self,
         feed: feeds.Feed,
-        pace: tuple[float, float],
+        timing: tuple[float, float],
         apply_all: Callable[[tuple[logs.KeyedRecord, ...]], None],
         apply_changes: Callable[[tuple[logs.KeyedRecord, ...]], None],
         *,
@@ -266,7 +266,7 @@
         feed.follower = followers.Follower(
             followers.FollowSettings(
                 feed.topic,
-                *pace,
+                *timing,
                 is_urgent=is_urgent,
                 own_read_age_s=own_read_age_s if is_urgent else math.inf,
                 first_read_wait_s=self._settings.first_read_wait_s,
@@ -311,7 +311,7 @@
 
         Infinite if a newer one is invalid.
         """
-        if self._configuration_is_unreadable:
+        if self._configuration_is_invalid:
             return float("inf")
         return self._configurations.follower.age_s
 
@@ -323,10 +323,10 @@
     @property
     def list_is_fresh(self) -> bool:
         """Whether the list of servers is recent enough to act upon."""
-        heard_s = self.server_list_as_of_s
-        if heard_s is None:
+        as_of_s = self.server_list_as_of_s
+        if as_of_s is None:
             return False
-        age_s = self._clock.monotonic_s() - heard_s
+        age_s = self._clock.monotonic_s() - as_of_s
         return age_s < self._settings.list_fresh_s
 
     @property
@@ -539,11 +539,11 @@
                 self._invalid_of(self._configurations).note(
                     "configuration_unreadable", record.key, error
                 )
-                self._configuration_is_unreadable = True
+                self._configuration_is_invalid = True
                 continue
             if new is not None:
                 self._apply_configuration(new)
-                self._configuration_is_unreadable = False
+                self._configuration_is_invalid = False
 
     def _apply_configuration(self, new: model.Configuration) -> None:
         """Applies a configuration if it is newer."""
@@ -635,7 +635,7 @@
             try:
                 address = model.parse_address(record.key)
             except ValueError as error:
-                self._note_instance(record, error)
+                self._note_invalid_instance(record, error)
                 continue
             self._instances_changed_s = self._clock.monotonic_s()
             self._set_strong(address, None)
@@ -656,7 +656,7 @@
         try:
             self.on_refused(record.key, record.value)
         except Exception as error:
-            self._note_instance(record, error)
+            self._note_invalid_instance(record, error)
 
     def strong_instances(self, domain: str) -> tuple[model.Address, ...]:
         """Returns the instances of a failure domain that are not weak.
@@ -683,10 +683,10 @@
         try:
             return INSTANCES.decode(record.value)
         except Exception as error:
-            self._note_instance(record, error)
+            self._note_invalid_instance(record, error)
             return None
 
-    def _note_instance(
+    def _note_invalid_instance(
         self, record: logs.KeyedRecord, error: Exception
     ) -> None:
         """Counts and logs an invalid record of the instance topic."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -93,7 +93,7 @@
             clock: Measures intervals.
         """
         self._settings = settings
-        self._platform = instance
+        self._instance = instance
         self._log = log
         self._lease_client = lease_client
         self._state = state
@@ -227,10 +227,10 @@
 
     async def _keep_registered(self) -> None:
         """Keeps this instance on the list; as the leader, removes lost ones."""
-        own = self._platform.peer_address
-        is_weak = leadership.LeadershipSettings().is_weak(self._platform)
+        own = self._instance.peer_address
+        is_weak = leadership.LeadershipSettings().is_weak(self._instance)
         listed = cluster_state.ListedInstance(
-            self._platform.name, is_weak, self._platform.failure_domain
+            self._instance.name, is_weak, self._instance.failure_domain
         )
         record = logs.KeyedRecord(
             str(own), cluster_state.INSTANCES.encode(listed)
@@ -238,7 +238,7 @@
         while not self._stopping:
             self._update_instance_count()
             known = self._state.knows_instances
-            known = known or self._platform.is_first_start
+            known = known or self._instance.is_first_start
             missing = known and own not in self._state.instances
             if missing and await self._log.put(
                 cluster_state.INSTANCE_TOPIC, record
@@ -266,7 +266,7 @@
 
     def _peers(self) -> tuple[model.Address, ...]:
         """Returns the peer addresses of the other instances."""
-        own = self._platform.peer_address
+        own = self._instance.peer_address
         return tuple(sorted(self._state.instances - {own}))
 
     def _rank(self, subject: poison_requests.Fingerprint) -> int:
@@ -274,7 +274,7 @@
 
         Instances try such a request in that order.
         """
-        own = str(self._platform.peer_address)
+        own = str(self._instance.peer_address)
         names = [own, *map(str, self._peers())]
         return hashing.rank_by_rendezvous(subject.hex(), names).index(own)
 
@@ -323,11 +323,11 @@
         keys, servers = counter.pop_counts()
         if key_map is None or not (keys or servers):
             return
-        if key_map.coordinator == self._platform.name:
+        if key_map.coordinator == self._instance.name:
             self._view(service).add_report(keys, servers)
             return
         report = load.LoadReport(
-            ids.InstanceId(self._platform.name),
+            ids.InstanceId(self._instance.name),
             service,
             window_s,
             keys,
@@ -373,7 +373,7 @@
         keeper = leases.LeaseManager(
             service,
             leases.LeaseSettings(),
-            self._platform.bounds,
+            self._instance.bounds,
             self._leadership,
             self._lease_client,
             self._book,
@@ -385,7 +385,7 @@
             service,
             coordinator.CoordinatorSettings(),
             planner.PlanSettings(),
-            self._platform,
+            self._instance,
             self._log,
             cluster_state.KEY_TOPIC,
             self._state.key_follower,
--- a/libs/bridgecross-entry/src/bridgecross_entry/follower.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/follower.py
@@ -208,7 +208,7 @@
                     topic=self._settings.topic,
                     age_s=self._rounded_age_s(),
                 )
-            if await self._step(wait_ms):
+            if await self._read_once(wait_ms):
                 if not self._has_more:
                     await anyio.sleep(self._settings.pause_s)
             else:
@@ -344,7 +344,7 @@
 
     async def catch_up(self) -> bool:
         """Reads the available records; returns whether the log answered."""
-        return await self._step(0)
+        return await self._read_once(0)
 
     async def reload(self) -> bool:
         """Reads the newest record of every key again.
@@ -352,15 +352,15 @@
         Before a record is written on top of the newest one, that one is looked
         up in the log itself, since relayed batches may have left it out.
         """
-        return await self._start()
+        return await self._read_newest()
 
-    async def _step(self, wait_ms: float) -> bool:
+    async def _read_once(self, wait_ms: float) -> bool:
         """Reads once; returns whether the log answered."""
         first_offset = self.next_offset
         if first_offset is None or self.lost_since_s is not None:
             # After a loss the newest records are read: the changes since may be
             # too long for one answer, each time anew.
-            return await self._start()
+            return await self._read_newest()
         asked_s = self._clock.monotonic_s()
         result = await self._log.read(
             self._settings.topic, first_offset, wait_ms
@@ -376,11 +376,11 @@
                 topic=self._settings.topic,
                 offset=first_offset,
             )
-            return await self._start()
+            return await self._read_newest()
         is_complete = result.next_offset >= result.end
         if not result.records and not is_complete:
             # The next record is too long for an answer to a read.
-            return await self._start()
+            return await self._read_newest()
         self._apply_read(first_offset, result)
         self._has_more = not is_complete
         if is_complete:
@@ -417,7 +417,7 @@
                 offset + 1, Source.LOG, self._apply_changes, (record,)
             )
 
-    async def _start(self) -> bool:
+    async def _read_newest(self) -> bool:
         """Reads all newest records; returns whether the log answered."""
         asked_s = self._clock.monotonic_s()
         result = await self._log.read_newest(self._settings.topic)
--- a/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
@@ -80,8 +80,8 @@
         expected = key_range.last_key + 1
     if expected != LAST_KEY + 1:
         raise codec.CodecError(
-            f"key map of {key_map.service}: the last range "
-            f"ends at {expected - 1} instead of {LAST_KEY}"
+            f"key map of {key_map.service}: the last range ends at "
+            f"{expected - 1} instead of the highest key"
         )
     return key_map
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
@@ -9,7 +9,7 @@
 heartbeats stop for long enough, another instance claims.
 
 For a while, two instances may both regard themselves as the leader. They cannot
-both move keys, because each key map builds on the one before. But the earlier
+both move keys, because each key map builds on the one before. But the previous
 leader could go on renewing leases whose expiry the later one is waiting for. So
 orders are issued only while the lead is confirmed: a majority of the instances
 accepted a recent heartbeat, or a recent read of the log showed the leader's
@@ -60,24 +60,27 @@
     # When it was sent, on the monotonic clock.
     sent_s: float
     # The number of other known instances.
-    peers: int
+    peer_count: int
     # The number of them that accepted the heartbeat.
-    accepted: int
+    accepted_count: int
     # The number of processes that have certainly ended and therefore follow no
     # leader.
-    ended: int
+    ended_count: int
     # Whether one of them knows of a later claim.
-    disputed: bool
+    is_disputed: bool
 
     @property
     def is_majority(self) -> bool:
         """Whether most instances follow, counting the leader itself."""
-        return 2 * (self.accepted + 1) > self.peers + 1 - self.ended
+        return (
+            2 * (self.accepted_count + 1)
+            > self.peer_count + 1 - self.ended_count
+        )
 
     @property
-    def is_all(self) -> bool:
+    def is_unanimous(self) -> bool:
         """Whether no instance can still follow another leader."""
-        return self.accepted + self.ended == self.peers
+        return self.accepted_count + self.ended_count == self.peer_count
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -209,7 +212,7 @@
     def majority_known_s(self) -> float:
         """When a majority was first known to follow this leader.
 
-        On the monotonic clock; infinite before that. From then on an earlier
+        On the monotonic clock; infinite before that. From then on a previous
         leader gets no confirmation from a majority any more, so leases that it
         renewed run out within a bounded time.
         """
@@ -229,7 +232,7 @@
         """Records which instances accepted a heartbeat of this instance."""
         if not self.is_leader or relay_round.term != self._claim.term:
             return
-        if relay_round.disputed:
+        if relay_round.is_disputed:
             # Another instance knows of a later claim; reading the log shows
             # which it is.
             self._confirmed_s = float("-inf")
@@ -238,7 +241,7 @@
             self._confirmed_s = max(self._confirmed_s, relay_round.sent_s)
             now_s = self._clock.monotonic_s()
             self._majority_known_s = min(self._majority_known_s, now_s)
-            if relay_round.is_all:
+            if relay_round.is_unanimous:
                 self._known_to_all_s = min(self._known_to_all_s, now_s)
 
     async def run(self) -> None:
--- a/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/relaying.py
@@ -162,10 +162,10 @@
         relay_round = leadership.RelayRound(
             claim.term,
             sent_s,
-            peers=len(received),
-            accepted=received.count(peers.Reception.ACCEPTED),
-            ended=received.count(peers.Reception.ENDED),
-            disputed=peers.Reception.DISPUTED in received,
+            peer_count=len(received),
+            accepted_count=received.count(peers.Reception.ACCEPTED),
+            ended_count=received.count(peers.Reception.ENDED),
+            is_disputed=peers.Reception.DISPUTED in received,
         )
         if self._can_count_majority(relay_round):
             self._leadership.note_relay_round(relay_round)
@@ -178,7 +178,7 @@
         can read the list: others may have been added to it since and follow
         another leader.
         """
-        if relay_round.peers:
+        if relay_round.peer_count:
             return self._state.knows_instances
         return not self._state.instances_are_lost
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -316,7 +316,7 @@
         return self._servers.keys()
 
     def has_ended(self, server_id: ids.ServerId) -> bool:
-        """Whether a run has certainly ended; an unknown run may not have.
+        """Whether a run has certainly ended; an unknown run may be running.
 
         A later start of the same server also proves that a run has ended.
         """
@@ -430,7 +430,7 @@
                 self._clock.monotonic_s() + self.settings.lapse_grace_s
             )
             return
-        self._note_leaving(known, "it is gone from the list")
+        self._note_leaving(known, "it was removed from the list")
         self.changed.notify()
 
     def replace_all(
--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -249,8 +249,8 @@
     # From here on the second instance leads, and none reads the log.
     cluster_state_support.Relay(next_one).send(third)
     assert third.knows("b")
-    gone = third.book.get(ids.ServerId("a"))
-    assert gone is None or gone.unlisted
+    removed = third.book.get(ids.ServerId("a"))
+    assert removed is None or removed.unlisted
     assert third.versions == [1, 2]
 
 
--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -18,7 +18,7 @@
 
 
 class NoBackends:
-    """A ``attempts.BackendClient`` that nobody calls."""
+    """An ``attempts.BackendClient`` that is never called."""
 
     def is_connected(self, server):
         return False
--- a/libs/bridgecross-entry/tests/test_draining.py
+++ b/libs/bridgecross-entry/tests/test_draining.py
@@ -13,7 +13,9 @@
         pytest.param((0,), (0,), 0.0, id="nothing is left"),
         pytest.param((2, 1, 0), (0,), 0.03, id="requests end"),
         pytest.param((0,), (1, 1, 0), 0.03, id="another takes the lead"),
-        pytest.param((0,), (1,), 0.2, id="nobody does: the log is unavailable"),
+        pytest.param(
+            (0,), (1,), 0.2, id="no instance does: the log is unavailable"
+        ),
         pytest.param((1,), (0,), 0.2, id="a request does not end"),
     ],
 )
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("known_s_ago", "left_s"),
     [
-        pytest.param(0.0, KEYS_FOR_S, id="heard at once"),
-        pytest.param(1.0, KEYS_FOR_S - 1.0, id="heard late"),
-        pytest.param(9.0, 0.0, id="heard after the bound"),
+        pytest.param(0.0, KEYS_FOR_S, id="learned at once"),
+        pytest.param(1.0, KEYS_FOR_S - 1.0, id="learned late"),
+        pytest.param(9.0, 0.0, id="learned after the bound"),
         pytest.param(None, KEYS_FOR_S, id="just started"),
     ],
 )
--- a/libs/bridgecross-entry/tests/test_follower.py
+++ b/libs/bridgecross-entry/tests/test_follower.py
@@ -126,7 +126,7 @@
     if has_record:
         platform_log.records[TOPIC].append(log.KeyedRecord("a", b"1"))
     platform_log.takes_s = 0.3
-    await known.follower._step(wait_ms)
+    await known.follower._read_once(wait_ms)
     assert known.follower.age_s == pytest.approx(age_s)
 
 
@@ -150,7 +150,7 @@
 async def test_an_early_empty_answer_gives_no_negative_age():
     known = Known(fakes.MemoryLog(), support.ManualClock(), 900.0)
     await known.follower.catch_up()
-    await known.follower._step(900.0)
+    await known.follower._read_once(900.0)
     assert known.follower.age_s >= 0
 
 
--- a/libs/bridgecross-entry/tests/test_leadership.py
+++ b/libs/bridgecross-entry/tests/test_leadership.py
@@ -63,9 +63,9 @@
             while True:
                 await anyio.sleep(0.04)
                 if self.leadership.is_leader:
-                    self.tell()
+                    self.send_heartbeats()
 
-    def tell(self) -> None:
+    def send_heartbeats(self) -> None:
         claim = self.leadership.claim
         for other in self.reachable:
             other.leadership.handle_heartbeat(claim)
@@ -108,10 +108,6 @@
     the heartbeats that had arrived meanwhile were still unread. Seen as a
     change of leader on a busy machine, and in each run in which the event loop
     is blocked for 0.2 s.
-
-    Its timers were due at once when it ran again, and so was its turn to claim;
-    what the leader had said meanwhile lay unread. Seen as a change of leader on
-    a busy machine, and in each run in which the loop stands still for 0.2 s.
     """
     async with _running(5, fakes.MemoryLog()) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
@@ -205,10 +201,10 @@
 
         platform_log.read_newest = counted
         (leader,) = _leaders(members)
-        heard, leader.reachable = leader.reachable, []
-        leader.tell = lambda: None
+        receivers, leader.reachable = leader.reachable, []
+        leader.send_heartbeats = lambda: None
         for _ in range(25):
-            for other in heard:
+            for other in receivers:
                 other.leadership.handle_heartbeat(
                     leader.leadership.claim, log_lost=True
                 )
@@ -226,12 +222,12 @@
     async with _running(3, platform_log) as members:
         await fakes.until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)[0]
-        heard = first.reachable
+        receivers = first.reachable
         first.reachable = []
         others = [m for m in members if m is not first]
         with anyio.fail_after(3):
             while not _leaders(others):
-                for other in heard:
+                for other in receivers:
                     other.leadership.handle_heartbeat(
                         first.leadership.claim, log_lost=True
                     )
@@ -364,12 +360,12 @@
 async def test_a_change_of_confirmation_is_logged():
     manual = support.ManualClock()
     leading = await _lead_alone(manual, fakes.MemoryLog())
-    told = []
-    leading._journal.lifecycle = lambda event, **fields: told.append(event)
+    events = []
+    leading._journal.lifecycle = lambda event, **fields: events.append(event)
     for passed_s in (0.0, 1.0, 1.0, 1.0):
         manual.now_s += passed_s
         leading._log_confirmation_change()
-    assert told == ["lead_confirmed", "lead_unconfirmed"]
+    assert events == ["lead_confirmed", "lead_unconfirmed"]
 
 
 async def test_a_claim_is_above_all_that_are_known_though_the_log_lost_them():
--- a/libs/bridgecross-entry/tests/test_log_breaker.py
+++ b/libs/bridgecross-entry/tests/test_log_breaker.py
@@ -37,81 +37,81 @@
 
 
 @pytest.fixture
-def behind():
+def inner_log():
     return CountingLog()
 
 
 @pytest.fixture
-def breaker(behind, clock):
+def breaker(inner_log, clock):
     journal = support.make_journal(clock)
-    return log_breaker.CircuitBreaker(SETTINGS, behind, journal, clock)
+    return log_breaker.CircuitBreaker(SETTINGS, inner_log, journal, clock)
 
 
 async def test_one_call_per_pause_tests_whether_the_log_is_available(
-    breaker, behind, clock
+    breaker, inner_log, clock
 ):
-    behind.away = True
+    inner_log.away = True
     attempts_s = []
     for _ in range(50):
-        before = behind.calls
+        before = inner_log.calls
         await breaker.read_newest("topic")
         await breaker.append("topic", RECORD, 0)
         await breaker.put("topic", RECORD)
-        if behind.calls > before:
+        if inner_log.calls > before:
             attempts_s.append(round(clock.now_s - 1_000, 1))
-            assert behind.calls == before + 1
+            assert inner_log.calls == before + 1
         clock.now_s += 0.1
     assert attempts_s == [0.0, 0.3, 0.9, 2.1, 3.3, 4.5]
 
 
-async def test_an_answer_closes_the_breaker(breaker, behind, clock):
-    behind.away = True
+async def test_an_answer_closes_the_breaker(breaker, inner_log, clock):
+    inner_log.away = True
     await breaker.read_newest("topic")
-    behind.away = False
+    inner_log.away = False
     clock.now_s += 0.3
     assert isinstance(await breaker.read_newest("topic"), log.Newest)
     assert isinstance(await breaker.append("topic", RECORD, 0), log.Appended)
     assert await breaker.put("topic", RECORD)
 
 
-async def test_a_rejected_write_is_reported_as_not_made(breaker, behind):
-    behind.away = True
+async def test_a_rejected_write_is_reported_as_not_made(breaker, inner_log):
+    inner_log.away = True
     await breaker.read_newest("topic")
-    behind.away = False
+    inner_log.away = False
     result = await breaker.append("topic", RECORD, 0)
     assert isinstance(result, log.Unreachable)
     assert not await breaker.put("topic", RECORD)
-    assert not behind.records["topic"]
+    assert not inner_log.records["topic"]
 
 
 async def test_a_lost_answer_to_a_write_does_not_open_the_breaker(
-    breaker, behind
+    breaker, inner_log
 ):
-    behind.lose_answer = True
+    inner_log.lose_answer = True
     result = await breaker.append("topic", RECORD, 0)
     assert isinstance(result, log.Uncertain)
     assert isinstance(await breaker.read_newest("topic"), log.Newest)
 
 
-async def test_topics_fail_independently(breaker, behind):
-    behind.away_topics = {"topic"}
+async def test_topics_fail_independently(breaker, inner_log):
+    inner_log.away_topics = {"topic"}
     assert isinstance(await breaker.read_newest("topic"), log.Unreachable)
     assert isinstance(await breaker.read_newest("other"), log.Newest)
-    calls = behind.calls
+    calls = inner_log.calls
     assert isinstance(await breaker.read_newest("topic"), log.Unreachable)
-    assert behind.calls == calls
+    assert inner_log.calls == calls
 
 
 async def test_writes_do_not_use_up_the_attempts_of_reads(
-    breaker, behind, clock
+    breaker, inner_log, clock
 ):
-    behind.away = True
+    inner_log.away = True
     await breaker.read("topic", 0, 0)
-    behind.away = False
+    inner_log.away = False
     answered = []
     for number in range(200):
         clock.now_s += 0.05
-        end = len(behind.records["topic"])
+        end = len(inner_log.records["topic"])
         await breaker.append("topic", RECORD, end)
         if number % 6 == 0:
             answer = await breaker.read("topic", 0, 0)
