--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -29,7 +29,7 @@
     "three requests at an owner": ({"min_room_count": 3}, {}),
     "every attempt is a first one": (
         {},
-        {"ages": caller_age.CallerAgeSettings(agreed_ratio=2.0)},
+        {"caller_ages": caller_age.CallerAgeSettings(cluster_min_ratio=2.0)},
     ),
 }
 """Fields of the settings of servers and of the dispatcher, by what is off."""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -182,7 +182,7 @@
 
 def find_ends(house: houses.House) -> dict[str, int]:
     """Returns where each topic ends at this moment."""
-    offsets = house.instances[0].parts.beliefs.offsets()
+    offsets = house.instances[0].parts.cluster_state.offsets()
     return {each.topic: house.log.end(each.topic) for each in offsets}
 
 
@@ -195,7 +195,7 @@
     """
     found = []
     for instance in house.instances:
-        for each in instance.parts.beliefs.offsets():
+        for each in instance.parts.cluster_state.offsets():
             end = ends[each.topic]
             if (each.next_offset or 0) < end:
                 detail = (
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
@@ -234,13 +234,13 @@
     @property
     def configuration_version(self) -> int | None:
         """The version that is in force here; None before the first."""
-        configuration = self.parts.beliefs.configuration
+        configuration = self.parts.cluster_state.configuration
         return configuration.version if configuration else None
 
     async def run(self) -> None:
         """Runs until cancelled."""
         context = virtual.enter(self.host)
-        self._server = self.parts.duties.make_peer_server()
+        self._server = self.parts.cluster_tasks.make_peer_server()
         own = self.settings.peer_address
         self._network.listen(own, self._answer, context)
         async with anyio.create_task_group() as tasks:
@@ -252,8 +252,8 @@
             issuer = self.parts.issuer
             return await edge.answer_permit(issuer, self._server, body)
         if path == poison_broadcast.PATH:
-            news = self.parts.duties.poison_broadcast
-            return await edge.answer_poison_news(news, self._server, body)
+            news = self.parts.cluster_tasks.poison_broadcast
+            return await edge.answer_poison_update(news, self._server, body)
         return self._server.answer(path, body)
 
     def kill(self) -> None:
--- a/libs/bridgecross-entry/src/bridgecross_entry/admission.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/admission.py
@@ -1,9 +1,10 @@
-"""Admission to services whose requests may go to any of their servers.
+"""Admission control for services whose requests may go to any server.
 
-One queue a service at each instance, rather than one a server: whichever server
-has room next takes the first in the order, and the instance as a whole keeps to
-its share of the service. Servers queue in order of arrival, so a surge that is
-let through to them makes everyone late; here it is put in order.
+Each instance has one queue per service instead of one per server: the next
+server with a free slot takes the first request in the queue's order, and the
+instance as a whole stays within its share of the service. Servers queue in
+order of arrival, so a surge that reaches them delays all requests; here it is
+put in order of priority.
 """
 
 import dataclasses
@@ -16,16 +17,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """How the queues follow the list of servers."""
+    """Settings for how the queues follow the list of servers."""
 
-    # How long a count of the servers' slots is used. Servers come and go once
-    # in seconds; counting 49 takes 7 us.
+    # How long a count of the servers' slots is reused. Servers join and leave
+    # every few seconds; counting 49 of them takes 7 us.
     recount_interval_s: float = 0.25
 
 
 @dataclasses.dataclass(slots=True)
-class _Entry:
-    """A queue and when its room was last counted."""
+class _CountedQueue:
+    """A queue and when its number of slots was last computed."""
 
     queue: queueing.TierQueue
     counted_s: float
@@ -40,26 +41,26 @@
         book: servers_lib.ServerRegistry,
         clock: clocks.Clock,
     ) -> None:
-        """Has no queue yet."""
+        """Starts without queues."""
         self._settings = settings
         self._book = book
         self._clock = clock
-        self._entries: dict[ids.ServiceName, _Entry] = {}
+        self._queues: dict[ids.ServiceName, _CountedQueue] = {}
 
     def get(self, service: ids.ServiceName) -> queueing.TierQueue:
-        """Returns the queue of a service, with room as of now."""
+        """Returns the queue of a service with an up-to-date size."""
         now_s = self._clock.monotonic_s()
-        entry = self._entries.get(service)
-        if entry is None:
-            queue = queueing.TierQueue(self._count(service), self._clock)
-            entry = self._entries[service] = _Entry(queue, now_s)
-        elif now_s - entry.counted_s > self._settings.recount_interval_s:
-            entry.queue.settings = self._count(service)
-            entry.counted_s = now_s
-        return entry.queue
+        counted = self._queues.get(service)
+        if counted is None:
+            queue = queueing.TierQueue(self._count_slots(service), self._clock)
+            counted = self._queues[service] = _CountedQueue(queue, now_s)
+        elif now_s - counted.counted_s > self._settings.recount_interval_s:
+            counted.queue.settings = self._count_slots(service)
+            counted.counted_s = now_s
+        return counted.queue
 
-    def _count(self, service: ids.ServiceName) -> queueing.QueueSettings:
-        """Returns the room that there is at a service."""
+    def _count_slots(self, service: ids.ServiceName) -> queueing.QueueSettings:
+        """Returns queue settings for the slots that a service has now."""
         room = self._book.room_count(service)
         return queueing.QueueSettings(
             room.room,
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -1,8 +1,8 @@
-"""The parts of an entry instance, put together.
+"""Assembles the parts of an entry instance.
 
-What an instance believes, decides and does for others, without the sockets
-that it listens on and without the signals of its process. Whoever brings other
-ways to the outside, as an emulator does, runs the same parts.
+This contains the instance's knowledge, its decisions and its tasks for other
+instances, but not its listening sockets and signal handling. An emulator, which
+replaces the connections to the outside, runs the same parts.
 """
 
 from collections.abc import Callable
@@ -32,11 +32,11 @@
 
 
 class Adapter(cluster_state.Decoder, Protocol):
-    """What a platform provides; it decides nothing."""
+    """The interface to a platform; it makes no decisions."""
 
     @property
     def settings(self) -> model.InstanceSettings:
-        """What the platform tells this instance."""
+        """The settings that the platform gives to this instance."""
 
     def make_log(self, metrics: metrics_lib.Metrics) -> logs.PlatformLog:
         """Returns the client of the platform's log."""
@@ -45,14 +45,14 @@
         """Returns the client that sends requests."""
 
     def make_lease_client(self) -> attempts.LeaseClient:
-        """Returns the client that gives orders."""
+        """Returns the client that sends lease orders."""
 
     def make_caller_codec(self) -> edge.CallerCodec:
-        """Returns what reads callers' requests."""
+        """Returns the codec for callers' requests and answers."""
 
 
 class Assembly:
-    """What an instance believes, decides and does for others."""
+    """The parts of an entry instance."""
 
     def __init__(
         self,
@@ -61,15 +61,16 @@
         journal: journals.Journal,
         connect_peer: peers.Connect | None = None,
     ) -> None:
-        """Builds all parts; nothing runs yet.
+        """Creates all parts; nothing runs yet.
 
         Args:
             adapter: The platform.
-            clock: For all times.
-            journal: Told of decisions.
-            connect_peer: The way to another instance; by HTTP, if left out.
+            clock: The time source.
+            journal: Logs decisions.
+            connect_peer: Creates connections to other instances; by HTTP if
+                omitted.
         """
-        # Called with each configuration that comes into force.
+        # Called with each new configuration.
         self.on_configuration: Callable[[model.Configuration], None] = (
             lambda _: None
         )
@@ -98,7 +99,7 @@
             journal,
             self.metrics,
             clock,
-            lambda service: self._certainty.is_sole_issuer(
+            lambda service: self._sole_issuer_check.is_sole_issuer(
                 service, self.settings.failure_domain
             ),
         )
@@ -137,7 +138,7 @@
             self.watch,
         )
         is_first = self.settings.is_first_start
-        self.beliefs = cluster_state.ClusterState(
+        self.cluster_state = cluster_state.ClusterState(
             cluster_state.FIRST_START_SETTINGS
             if is_first
             else cluster_state.ClusterStateSettings(),
@@ -150,19 +151,19 @@
             clock,
         )
         self.dispatcher.server_list_as_of_s = lambda: (
-            self.beliefs.server_list_as_of_s
+            self.cluster_state.server_list_as_of_s
         )
-        self._certainty = warmups.SoleIssuerCheck(
+        self._sole_issuer_check = warmups.SoleIssuerCheck(
             warmups.WarmupSettings(),
             self.settings.peer_address,
             self._strong_instances,
-            lambda: self.beliefs.instances_age_s,
-            lambda: self.beliefs.instances_unchanged_for_s,
+            lambda: self.cluster_state.instances_age_s,
+            lambda: self.cluster_state.instances_unchanged_for_s,
         )
         self.dispatcher.configuration_age_s = lambda: (
-            self.beliefs.configuration_age_s
+            self.cluster_state.configuration_age_s
         )
-        self.duties = cluster_tasks.ClusterTasks(
+        self.cluster_tasks = cluster_tasks.ClusterTasks(
             cluster_tasks.ClusterTaskSettings(),
             self.settings,
             self.log,
@@ -170,7 +171,7 @@
             peers.PeerClient(
                 peers.PeerSettings(), journal, clock, connect_peer
             ),
-            self.beliefs,
+            self.cluster_state,
             self.book,
             self.table,
             self.dispatcher,
@@ -180,15 +181,15 @@
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts to follow the log, and all duties."""
-        self.beliefs.start(tasks)
-        self.duties.start(tasks)
+        """Starts to follow the platform's log, and all background tasks."""
+        self.cluster_state.start(tasks)
+        self.cluster_tasks.start(tasks)
         self.issuer.start(tasks)
         self.permits.start(tasks)
         self.watch.start(tasks)
 
     def sweep(self) -> None:
-        """Drops what is stale."""
+        """Removes stale state."""
         self.book.drop_stale()
         self.issuer.sweep()
         self.watch.sweep()
@@ -196,12 +197,12 @@
         self.lease_client.sweep(self.book.known_ids())
 
     def _strong_instances(self, domain: str) -> tuple[model.Address, ...]:
-        """Returns the instances of a failure domain that may give permits."""
-        return self.beliefs.strong_instances(domain)
+        """Returns the instances of a domain that may issue permits."""
+        return self.cluster_state.strong_instances(domain)
 
     def _configure(self, new: model.Configuration) -> None:
-        """Puts a configuration in force."""
+        """Applies a new configuration."""
         self.book.configure(new.services)
         self.dispatcher.configure(new)
         self.on_configuration(new)
-        self.duties.match_coordinators()
+        self.cluster_tasks.match_coordinators()
--- a/libs/bridgecross-entry/src/bridgecross_entry/caller_age.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/caller_age.py
@@ -1,11 +1,11 @@
-"""How long a caller has waited already when one of its attempts arrives.
+"""Estimates how long a caller has been waiting when an attempt arrives.
 
-A caller states how long it will still wait. All callers of a route start with
-the same time, and one that comes back after a refusal states what is left of
-it, so the difference is how long it has waited. What they start with is in no
-configuration; it is the longest time that many of them state: first attempts
-all state about the same, less the time in which a connection was made, and
-later ones each a different one.
+Each attempt states the caller's remaining timeout. All callers of a route start
+with the same timeout, and a caller that retries after a refusal states what is
+left of it, so the difference is its age. The initial timeout is not configured
+anywhere; it is estimated as the longest timeout that many attempts state. First
+attempts all state about the same value, less the time to connect, while the
+values of retries differ from each other.
 """
 
 import collections
@@ -15,40 +15,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerAgeSettings:
-    """How the time that callers start with is learned."""
+    """Settings for how the initial timeout of callers is estimated."""
 
-    # Attempts that count. Among 200, first attempts stand out even while most
-    # callers come back; an instance sees that many in 2 to 20 s.
+    # The number of most recent attempts to use. Among 200, first attempts stand
+    # out even while most attempts are retries; an instance receives that many
+    # in 2 to 20 bucket.
     sample_count: int = 200
-    # Times that differ by less count as the same. Making a connection takes
-    # two trips to the caller, 6 to 20 ms of the 400 ms and more that callers
-    # wait; one that was refused has been away for longer.
-    same_ratio: float = 0.04
-    # The part of the sample that must state about the same time; with fewer,
-    # callers differ among themselves, and nobody is taken to have waited.
-    agreed_ratio: float = 0.1
-    # And at least so many, lest one attempt that comes back after a restart
-    # of this instance stands for all.
-    agreed_count: int = 3
+    # Timeouts that differ by less than this ratio count as equal. Connecting
+    # takes two round trips to the caller, which is 6 to 20 ms of the 400 ms or
+    # more that callers wait; a retry arrives later than that.
+    tolerance_ratio: float = 0.04
+    # The part of the sample that must state about the same timeout. With less,
+    # the callers' initial timeouts differ, and all ages are taken to be 0.
+    cluster_min_ratio: float = 0.1
+    # The minimum number of such attempts, so that after a restart of this
+    # instance a single retry does not determine the estimate.
+    cluster_min_count: int = 3
 
 
 class CallerAgeEstimator:
-    """Learns the time that the callers of one route start with."""
+    """Estimates the initial timeout of one route's callers."""
 
     def __init__(self, settings: CallerAgeSettings) -> None:
-        """Has seen nobody yet."""
+        """Starts without a sample."""
         self._settings = settings
-        # Stated times by their logarithm, in steps of half of what counts as
-        # the same.
-        self._step = math.log1p(settings.same_ratio / 2)
+        # Timeouts are counted in logarithmic buckets, each half as wide as the
+        # difference up to which timeouts count as equal.
+        self._bucket_width = math.log1p(settings.tolerance_ratio / 2)
         self._sample: collections.deque[int] = collections.deque()
         self._counts: collections.Counter[int] = collections.Counter()
 
-    def note(self, caller_timeout_ms: float) -> None:
-        """Counts an attempt whose caller will wait for so long."""
-        step = self._to_step(caller_timeout_ms)
-        self._sample.append(step)
-        self._counts[step] += 1
+    def add(self, caller_timeout_ms: float) -> None:
+        """Adds the remaining timeout of an attempt to the sample."""
+        bucket = self._find_bucket(caller_timeout_ms)
+        self._sample.append(bucket)
+        self._counts[bucket] += 1
         if len(self._sample) > self._settings.sample_count:
             oldest = self._sample.popleft()
             self._counts[oldest] -= 1
@@ -56,28 +57,32 @@
                 del self._counts[oldest]
 
     def age_s(self, caller_timeout_ms: float | None) -> float:
-        """Returns how long a caller has waited that will wait for so long.
+        """Returns the age of a caller with this remaining timeout.
 
-        Zero for a first attempt.
+        It is zero for a first attempt.
         """
-        usual_ms = self._usual_ms()
-        if caller_timeout_ms is None or usual_ms is None:
+        initial_ms = self._initial_timeout_ms()
+        if caller_timeout_ms is None or initial_ms is None:
             return 0.0
-        missing_ms = usual_ms - caller_timeout_ms
-        if missing_ms <= self._settings.same_ratio * usual_ms:
+        elapsed_ms = initial_ms - caller_timeout_ms
+        if elapsed_ms <= self._settings.tolerance_ratio * initial_ms:
             return 0.0
-        return missing_ms / 1_000
+        return elapsed_ms / 1_000
 
-    def _usual_ms(self) -> float | None:
-        """Returns the time that callers start with; None if none is known."""
+    def _initial_timeout_ms(self) -> float | None:
+        """Returns the estimated initial timeout; None if it is unknown."""
         settings = self._settings
-        least = settings.agreed_ratio * len(self._sample)
-        least = max(least, settings.agreed_count)
-        agreed = [s for s, count in self._counts.items() if count >= least]
-        if not agreed:
+        min_count = settings.cluster_min_ratio * len(self._sample)
+        min_count = max(min_count, settings.cluster_min_count)
+        frequent = [
+            bucket
+            for bucket, count in self._counts.items()
+            if count >= min_count
+        ]
+        if not frequent:
             return None
-        return math.exp((max(agreed) + 1) * self._step)
+        return math.exp((max(frequent) + 1) * self._bucket_width)
 
-    def _to_step(self, caller_timeout_ms: float) -> int:
-        """Returns where a time stands among the steps."""
-        return int(math.log(max(caller_timeout_ms, 1.0)) / self._step)
+    def _find_bucket(self, caller_timeout_ms: float) -> int:
+        """Returns the index of the bucket of a timeout."""
+        return int(math.log(max(caller_timeout_ms, 1.0)) / self._bucket_width)
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -323,7 +323,7 @@
             )
             self._caller_ages[route.name] = estimator
         if request.caller_timeout_ms is not None:
-            estimator.note(request.caller_timeout_ms)
+            estimator.add(request.caller_timeout_ms)
         return estimator.age_s(request.caller_timeout_ms)
 
     async def _try_servers(self, state: _RequestState) -> outcomes.Outcome:
--- a/libs/bridgecross-entry/src/bridgecross_entry/edge.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/edge.py
@@ -1,4 +1,4 @@
-"""The entrance for callers, and the small ones beside it."""
+"""The ASGI applications for callers, readiness, metrics and peers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -21,20 +21,21 @@
 from bridgecross_request import poison_requests
 
 _BODY_MAX_BYTES = 64 * 1024 * 1024
-"""For bodies before a configuration names a limit."""
+"""The limit for request bodies until a configuration sets one."""
 
 _PEER_BODY_MAX_BYTES = 8 * 1024 * 1024
-"""For messages of peers; all that is known of 5,000 servers has 0.3 MB."""
+"""The limit for messages of peers; the full state of 5,000 servers takes
+0.3 MB."""
 
 
 class BadRequest(NamedTuple):
-    """A request that cannot be understood."""
+    """A request that cannot be parsed."""
 
     reason: str
 
 
 class CallerAnswer(NamedTuple):
-    """An answer as it goes to the caller."""
+    """An HTTP answer to a caller."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -42,7 +43,7 @@
 
 
 class CallerCodec(Protocol):
-    """Reads requests of callers and writes answers to them."""
+    """Decodes requests of callers and encodes the answers."""
 
     def read(
         self, scope: listener.Scope, body: bytes, received_s: float
@@ -50,11 +51,11 @@
         """Returns the request of an ASGI scope."""
 
     def write(self, request_id: str, outcome: outcomes.Outcome) -> CallerAnswer:
-        """Returns the answer that tells an outcome."""
+        """Returns the answer that reports an outcome."""
 
 
 class Edge:
-    """Takes in the requests of callers."""
+    """Serves the requests of callers."""
 
     def __init__(
         self,
@@ -63,10 +64,10 @@
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
-        """Serves at once."""
+        """Creates an application that is ready to serve."""
         # Whether answers ask callers to close their connections.
         self.draining = False
-        # Requests that have been read and not yet answered.
+        # The number of requests that have arrived and are not yet answered.
         self.open_count = 0
         self._dispatcher = dispatcher
         self._codec = codec
@@ -84,30 +85,30 @@
         self.open_count += 1
         try:
             try:
-                body = await listener.read_body(receive, self._max_body())
+                body = await listener.read_body(receive, self._max_body_bytes())
             except ValueError as error:
                 await self._refuse(send, 413, str(error))
                 return
             if body is not None:
-                await self._serve_whole(scope, body, received_s, send)
+                await self._serve_request(scope, body, received_s, send)
         finally:
             self.open_count -= 1
 
-    async def _serve_whole(
+    async def _serve_request(
         self,
         scope: listener.Scope,
         body: bytes,
         received_s: float,
         send: listener.Send,
     ) -> None:
-        """Serves a request whose body has come."""
+        """Serves a request whose body has been received completely."""
         request = self._codec.read(scope, body, received_s)
         if isinstance(request, BadRequest):
             await self._refuse(send, 400, request.reason)
             return
         outcome: outcomes.Outcome | None = None
-        with anyio.CancelScope() as life:
-            scope["state"][listener.ON_DISCONNECT] = life.cancel
+        with anyio.CancelScope() as cancel_scope:
+            scope["state"][listener.ON_DISCONNECT] = cancel_scope.cancel
             outcome = await self._dispatcher.run(request)
         if outcome is None:
             return
@@ -116,7 +117,7 @@
             answer.headers.append((b"connection", b"close"))
         await listener.respond(send, *answer)
 
-    def _max_body(self) -> int:
+    def _max_body_bytes(self) -> int:
         """Returns the largest body that a caller may send, in bytes."""
         table = self._dispatcher.routes
         if table is None:
@@ -126,7 +127,7 @@
     async def _refuse(
         self, send: listener.Send, status: int, reason: str
     ) -> None:
-        """Refuses a request that cannot be read, and ends the connection."""
+        """Refuses an invalid request and closes the connection."""
         self._journal.decision(
             "request_unreadable", status=status, reason=reason
         )
@@ -145,7 +146,7 @@
         receive: listener.Receive,
         send: listener.Send,
     ) -> None:
-        del scope, receive  # Every path asks the same.
+        del scope, receive  # All paths are answered alike.
         status = 200 if is_ready() else 503
         await listener.respond(send, status, [], b"")
 
@@ -155,14 +156,14 @@
 def make_metrics_app(
     metrics: metrics_lib.Metrics, refresh: Callable[[], None]
 ) -> listener.App:
-    """Returns an application that answers with the figures."""
+    """Returns an application that serves the metrics."""
 
     async def serve(
         scope: listener.Scope,
         receive: listener.Receive,
         send: listener.Send,
     ) -> None:
-        del scope, receive  # Every path asks the same.
+        del scope, receive  # All paths are answered alike.
         refresh()
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
         await listener.respond(send, 200, headers, metrics.render())
@@ -173,7 +174,7 @@
 def make_peer_app(
     server: peers.PeerServer,
     issuer: permit_issuer.PermitIssuer,
-    news: poison_broadcast.PoisonBroadcaster,
+    broadcaster: poison_broadcast.PoisonBroadcaster,
 ) -> listener.App:
     """Returns an application that answers other instances."""
 
@@ -192,7 +193,7 @@
         if scope["raw_path"] == permits.PATH:
             reply = await answer_permit(issuer, server, body)
         elif scope["raw_path"] == poison_broadcast.PATH:
-            reply = await answer_poison_news(news, server, body)
+            reply = await answer_poison_update(broadcaster, server, body)
         else:
             reply = server.answer(scope["raw_path"], body)
         await listener.respond(send, reply.status, [], reply.body)
@@ -200,14 +201,14 @@
     return serve
 
 
-async def answer_poison_news(
-    news: poison_broadcast.PoisonBroadcaster,
+async def answer_poison_update(
+    broadcaster: poison_broadcast.PoisonBroadcaster,
     server: peers.PeerServer,
     body: bytes,
 ) -> peers.PeerReply:
-    """Answers one who tells of servers that ended under requests."""
+    """Answers an instance that reports servers that crashed on requests."""
     try:
-        return peers.PeerReply(200, await news.answer(body))
+        return peers.PeerReply(200, await broadcaster.answer(body))
     except (codec.CodecError, poison_requests.InvalidReportError) as error:
         return server.reject_unreadable(poison_broadcast.PATH, error)
 
@@ -215,7 +216,7 @@
 async def answer_permit(
     issuer: permit_issuer.PermitIssuer, server: peers.PeerServer, body: bytes
 ) -> peers.PeerReply:
-    """Answers one who asks for a permit, or gives one back."""
+    """Answers an instance that requests or returns a permit."""
     try:
         message = permits.MESSAGES.decode(body)
     except codec.CodecError as error:
--- a/libs/bridgecross-entry/src/bridgecross_entry/journal.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/journal.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON object a line on standard output.
+"""Structured logging: one JSON object per line on standard output.
 
-Volume is bounded by a budget a second for each severity; what goes beyond it
-is counted and told in the next line that gets through. Writing never waits:
-when the reader of standard output falls behind, lines are dropped, counted
-and told the same way.
+Each level has a limit of lines per second. Lines beyond it are dropped and
+counted, and the next line that is written contains the count. Writing never
+blocks: if the reader of standard output falls behind, lines are dropped and
+counted in the same way.
 """
 
 import dataclasses
@@ -19,90 +19,90 @@
 
 
 class Level(enum.Enum):
-    """How a line is budgeted."""
+    """The level of a line, which determines its rate limit."""
 
     ROUTINE = "routine"
-    """A request that went well; one in many tells enough."""
+    """A request without incident; a sample of these is enough."""
 
     DECISION = "decision"
-    """A request that did not go straight, or a change of belief."""
+    """A request with an incident, or a change of what is known."""
 
     LIFECYCLE = "lifecycle"
-    """Start, stop, reload, and dependencies lost and regained."""
+    """Start, stop, reload, and dependencies that fail or recover."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """How much may be written."""
+    """Limits of the log's volume."""
 
-    # Lines a second of each level. A line is about 300 bytes and costs about
-    # 40 us, so all three together stay under 3% of a core.
+    # Lines per second of each level. A line has about 300 bytes and takes about
+    # 40 us to write, so all three together stay below 3% of a core.
     routine_lines_per_s: float = 20.0
     decision_lines_per_s: float = 200.0
     lifecycle_lines_per_s: float = 500.0
-    # Bytes that wait for a slow reader before lines are dropped.
+    # Bytes that are buffered for a slow reader before lines are dropped.
     backlog_bytes: int = 65_536
 
 
-class _Allowance:
-    """Lets a number of lines through each second."""
+class _RateLimiter:
+    """A token bucket that limits the lines per second."""
 
     def __init__(self, lines_per_s: float) -> None:
-        """Starts with one second's worth."""
+        """Starts with the tokens of one second."""
         self._lines_per_s = lines_per_s
-        self._left = lines_per_s
-        self._filled_s = 0.0
+        self._tokens = lines_per_s
+        self._refilled_s = 0.0
         self.dropped_count = 0
 
     def take(self, now_s: float) -> bool:
-        """Returns whether a line may be written now."""
-        earned = (now_s - self._filled_s) * self._lines_per_s
-        self._left = min(self._left + earned, self._lines_per_s)
-        self._filled_s = now_s
-        if self._left < 1:
+        """Takes a token; returns whether a line may be written now."""
+        earned = (now_s - self._refilled_s) * self._lines_per_s
+        self._tokens = min(self._tokens + earned, self._lines_per_s)
+        self._refilled_s = now_s
+        if self._tokens < 1:
             self.dropped_count += 1
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
-class _Output:
-    """Writes to a file descriptor without ever waiting."""
+class _NonBlockingWriter:
+    """Writes to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int, backlog_bytes: int) -> None:
         """Makes the descriptor non-blocking."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._backlog_bytes = backlog_bytes
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self.dropped_count = 0
 
     def write(self, line: str) -> None:
-        """Writes a line, or keeps it for later, or counts it as dropped."""
-        if len(self._waiting) > self._backlog_bytes:
+        """Writes a line, buffers it, or counts it as dropped."""
+        if len(self._buffer) > self._backlog_bytes:
             self.flush()
-        if len(self._waiting) > self._backlog_bytes:
+        if len(self._buffer) > self._backlog_bytes:
             self.dropped_count += 1
             return
-        self._waiting += line.encode()
+        self._buffer += line.encode()
         self.flush()
 
     def flush(self) -> None:
-        """Writes as much as the reader takes."""
+        """Writes as much of the buffer as the reader accepts."""
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more, and nobody is left to be told.
+            # The reader is gone, so the error cannot be reported either.
             self.dropped_count += 1
-            self._waiting.clear()
+            self._buffer.clear()
             return
-        del self._waiting[:written]
+        del self._buffer[:written]
 
 
 class Journal:
-    """The logs of one process."""
+    """The structured log of one process."""
 
     def __init__(
         self,
@@ -111,54 +111,55 @@
         clock: clocks.Clock,
         descriptor: int | None = None,
     ) -> None:
-        """Takes over ``loguru``'s output.
+        """Replaces the outputs of ``loguru``.
 
         Args:
-            instance: The name that stands in each line.
-            settings: How much may be written.
-            clock: For times and allowances.
-            descriptor: Where to write; standard output if left out.
+            instance: The name of the instance, written in each line.
+            settings: Limits of the log's volume.
+            clock: The time source for timestamps and rate limits.
+            descriptor: The file descriptor to write to; standard output if
+                omitted.
         """
         self._instance = instance
         self._clock = clock
-        self._allowances = {
-            Level.ROUTINE: _Allowance(settings.routine_lines_per_s),
-            Level.DECISION: _Allowance(settings.decision_lines_per_s),
-            Level.LIFECYCLE: _Allowance(settings.lifecycle_lines_per_s),
+        self._limiters = {
+            Level.ROUTINE: _RateLimiter(settings.routine_lines_per_s),
+            Level.DECISION: _RateLimiter(settings.decision_lines_per_s),
+            Level.LIFECYCLE: _RateLimiter(settings.lifecycle_lines_per_s),
         }
         if descriptor is None:
             descriptor = sys.stdout.fileno()
-        self._output = _Output(descriptor, settings.backlog_bytes)
+        self._writer = _NonBlockingWriter(descriptor, settings.backlog_bytes)
         loguru.logger.remove()
-        loguru.logger.add(self._output.write, format="{message}", catch=False)
+        loguru.logger.add(self._writer.write, format="{message}", catch=False)
 
     @property
     def dropped_count(self) -> int:
-        """Lines that were not written, for any reason."""
-        allowances = self._allowances.values()
-        beyond = sum(allowance.dropped_count for allowance in allowances)
-        return beyond + self._output.dropped_count
+        """The number of lines that were dropped for any reason."""
+        limiters = self._limiters.values()
+        rate_limited = sum(limiter.dropped_count for limiter in limiters)
+        return rate_limited + self._writer.dropped_count
 
     def flush(self) -> None:
-        """Writes what waited for a slow reader, as far as it goes."""
-        self._output.flush()
+        """Writes buffered lines as far as the reader accepts them."""
+        self._writer.flush()
 
     def routine(self, event: str, **fields: Any) -> None:
-        """Writes of a request that went well."""
+        """Logs a request without incident."""
         self._write(Level.ROUTINE, event, fields)
 
     def decision(self, event: str, **fields: Any) -> None:
-        """Writes of a decision or a change of belief."""
+        """Logs a decision, or a change of what is known."""
         self._write(Level.DECISION, event, fields)
 
     def lifecycle(self, event: str, **fields: Any) -> None:
-        """Writes of a start, a stop, a reload or a dependency."""
+        """Logs a start, a stop, a reload or the state of a dependency."""
         self._write(Level.LIFECYCLE, event, fields)
 
     def _write(self, level: Level, event: str, fields: dict[str, Any]) -> None:
-        """Writes one line if the level's allowance has room."""
+        """Writes one line, unless the level's rate limit is reached."""
         now_s = self._clock.monotonic_s()
-        if not self._allowances[level].take(now_s):
+        if not self._limiters[level].take(now_s):
             return
         line = {
             "at_s": round(self._clock.wall_s(), 4),
--- a/libs/bridgecross-entry/src/bridgecross_entry/listener.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/listener.py
@@ -1,4 +1,4 @@
-"""The listeners of an instance, on ``uvicorn``'s HTTP protocol."""
+"""HTTP listeners, built on ``uvicorn``'s protocol."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,17 +19,18 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 ON_DISCONNECT = "bridgecross.on_disconnect"
-"""Where an application leaves a function to call when the caller leaves."""
+"""The key of ``scope["state"]`` under which an application stores a function
+to call when the caller disconnects."""
 
 _BACKLOG = 2_048
-"""Connections that wait to be accepted; a dropped one costs a second."""
+"""Connections that may wait to be accepted; a dropped one costs a second."""
 
 
-class _Protocol(httptools_impl.HttpToolsProtocol):
-    """Tells the application at once when the caller has left."""
+class _DisconnectAwareProtocol(httptools_impl.HttpToolsProtocol):
+    """Notifies the application as soon as the caller disconnects."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Calls what the application left behind."""
+        """Calls the function that the application stored, if any."""
         cycle = self.cycle
         super().connection_lost(exc)
         if cycle is not None and not cycle.response_complete:
@@ -38,11 +39,11 @@
                 on_disconnect()
 
 
-class _ToJournal(logging.Handler):
-    """Passes log records of libraries on to the journal."""
+class _JournalHandler(logging.Handler):
+    """Forwards log records of libraries to the journal."""
 
     def __init__(self, journal: journals.Journal) -> None:
-        """Takes warnings and worse."""
+        """Creates a handler for warnings and errors."""
         super().__init__(logging.WARNING)
         self._journal = journal
 
@@ -58,18 +59,18 @@
 
 def route_library_logs(journal: journals.Journal) -> None:
     """Sends warnings and errors of libraries to the journal."""
-    logging.basicConfig(handlers=[_ToJournal(journal)], force=True)
+    logging.basicConfig(handlers=[_JournalHandler(journal)], force=True)
 
 
 class Listener:
     """Serves an application at one address."""
 
     def __init__(self, address: model.Address, app: App) -> None:
-        """Listens to nothing yet."""
+        """Creates a listener that has not been started."""
         self._address = address
         self._config = uvicorn.Config(
             app,
-            http=_Protocol,
+            http=_DisconnectAwareProtocol,
             interface="asgi3",
             ws="none",
             lifespan="off",
@@ -83,7 +84,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         self._config.load()
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -94,17 +95,18 @@
         )
 
     def set_idle_timeout(self, idle_timeout_s: float) -> None:
-        """Sets how long new connections may rest between requests."""
-        # uvicorn passes it to call_later unchanged; its annotation is narrow.
+        """Sets how long new connections may be idle between requests."""
+        # uvicorn passes the value on to call_later, so floats are fine despite
+        # its annotation.
         self._config.timeout_keep_alive = idle_timeout_s  # type: ignore[assignment]
 
     def close_idle(self) -> None:
-        """Closes connections without a request; the others after theirs."""
+        """Closes idle connections, and the others after their request."""
         for protocol in list(self._state.connections):
             protocol.shutdown()
 
     def abort_all(self) -> None:
-        """Breaks all connections, as the end of the process would."""
+        """Aborts all connections, as the end of the process would."""
         for protocol in list(self._state.connections):
             protocol.transport.abort()
 
@@ -115,16 +117,16 @@
 
     def _make_protocol(self) -> asyncio.Protocol:
         """Returns the protocol of a new connection."""
-        return _Protocol(
+        return _DisconnectAwareProtocol(
             config=self._config, server_state=self._state, app_state={}
         )
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """Returns the whole body of a request; None if the caller left.
+    """Returns the body of a request; None if the caller disconnected.
 
     Raises:
-        ValueError: It is larger than allowed.
+        ValueError: The body is larger than allowed.
     """
     pieces: list[bytes] = []
     size_bytes = 0
@@ -146,7 +148,7 @@
     headers: list[tuple[bytes, bytes]],
     body: bytes,
 ) -> None:
-    """Sends a whole answer."""
+    """Sends a complete answer."""
     headers.append((b"content-length", str(len(body)).encode()))
     start = {
         "type": "http.response.start",
--- a/libs/bridgecross-entry/src/bridgecross_entry/metrics.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/metrics.py
@@ -1,17 +1,17 @@
-"""Counters and latency histograms of one instance."""
+"""Prometheus metrics of one instance."""
 
 import aioprometheus
 import aioprometheus.renderer
 
-# Upper ends in seconds; the routes' targets lie between 0.15 and 6 s.
+# Upper bounds; the target latencies of routes are between 0.15 and 6 s.
 _LATENCY_BUCKETS_S = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5, 15]
 
 
 class Metrics:
-    """The figures of one process; every label has a bounded set of values."""
+    """The metrics of one process; each label has a bounded set of values."""
 
     def __init__(self) -> None:
-        """Registers all figures."""
+        """Registers all metrics."""
         self.registry = aioprometheus.Registry()
         self.requests = aioprometheus.Counter(
             "bridgecross_requests_total",
@@ -87,6 +87,6 @@
         )
 
     def render(self) -> bytes:
-        """Returns all figures as text."""
+        """Returns all metrics in the text exposition format."""
         text, _ = aioprometheus.renderer.render(self.registry, ["text/plain"])
         return bytes(text)
--- a/libs/bridgecross-entry/src/bridgecross_entry/routes.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/routes.py
@@ -1,18 +1,18 @@
-"""From host and path to a route, and from a route to a service."""
+"""Selects a route by host and path, and a service of the route."""
 
 from bridgecross_core import ids
 from bridgecross_entry import model
 
 
 class WeightedChoice:
-    """Divides requests by weight, evenly even over few of them.
+    """Distributes requests by weight with smooth weighted round robin.
 
-    Each pick goes to the service that lies furthest behind its share, so
-    after n picks no service is off by more than one.
+    Each pick returns the service that is furthest behind its share, so after
+    any number of picks no service deviates by more than one request.
     """
 
     def __init__(self, shares: tuple[model.WeightedService, ...]) -> None:
-        """Starts with no service ahead of another."""
+        """Starts with equal credits for all services."""
         self._shares = [s for s in shares if s.weight > 0]
         self._total = sum(s.weight for s in self._shares)
         self._credits = [0.0] * len(self._shares)
@@ -29,14 +29,14 @@
 
 
 class RouteTable:
-    """The routes of one configuration, ready for look-up."""
+    """The routes of one configuration, indexed by host."""
 
     def __init__(
         self,
         configuration: model.Configuration,
         previous: "RouteTable | None" = None,
     ) -> None:
-        """Indexes the routes; unchanged weights go on where they stood."""
+        """Indexes the routes; unchanged weights keep their credits."""
         self.configuration = configuration
         self._by_host: dict[str, list[model.Route]] = {}
         self._choices: dict[tuple[model.WeightedService, ...], WeightedChoice]
@@ -51,7 +51,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> model.Route | None:
-        """Returns the route with the longest prefix that begins the path."""
+        """Returns the route with the longest matching path prefix."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/libs/bridgecross-entry/src/bridgecross_entry/tally.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/tally.py
@@ -1,8 +1,8 @@
-"""What became of the requests of each route, summed up by the second.
+"""Totals of the outcomes of requests per route and second.
 
-Lines of single requests are bounded, so most are not written when it matters
-most. The sums are always written, one line a route in each second, and every
-request is in one of them.
+Log lines of single requests are rate-limited, so under load most of them are
+not written. The totals are always written, one line per route and second, and
+include every request.
 """
 
 import collections
@@ -14,18 +14,18 @@
 from bridgecross_entry import model
 
 EVENT = "requests"
-"""The event of the lines."""
+"""The event name of the log lines."""
 
 IN_TIME = "in_time"
 LATE = "late"
 CALLER_LEFT = "caller_left"
-"""Outcomes besides causes."""
+"""The outcomes other than the causes below."""
 
 _CAUSES = {
     "the queue of the tier is full": "no_room",
     "the deadline cannot be met": "no_room",
     "the deadline has passed": "waited_for_room",
-    # Before what is a part of it.
+    # Precedes "left alone", which it contains.
     "to be left alone": "server_rests",
     "it rests": "server_rests",
     "left alone": "server_left_alone",
@@ -44,14 +44,15 @@
     "servers end under it": "poison",
     "it is tried elsewhere first": "poison",
 }
-"""Why requests are not served, by what the last entry of their trail says."""
+"""The causes of requests not served, by texts in the last trail entry."""
 
 OTHER_CAUSE = "other"
-"""Stands for causes that have no name; no trail should come to it."""
+"""The cause of trails without a known text; there should be none."""
 
 _ROUTES_MAX_COUNT = 50
-"""Routes with a line of their own in one second, the busiest ones; an instance
-takes requests for a few at a time, and a configuration may have thousands."""
+"""The number of busiest routes with a line of their own per second. An instance
+receives requests for a few routes at a time, but a configuration may have
+thousands."""
 
 
 class RequestResult(NamedTuple):
@@ -59,24 +60,24 @@
 
     # Whether it was its caller's first attempt.
     first: bool
-    # One of the outcomes above, or why it was not served.
+    # One of the outcomes above, or the cause if it was not served.
     outcome: str
-    # From its head to its end.
+    # The time from receiving its head to its outcome.
     held_s: float
 
 
 def find_cause(trail: Sequence[str]) -> str:
-    """Returns why a request was not served, by its trail."""
+    """Returns the cause of a request that was not served, by its trail."""
     if not trail:
         return "no_server"
-    for words, cause in _CAUSES.items():
-        if words in trail[-1]:
+    for text, cause in _CAUSES.items():
+        if text in trail[-1]:
             return cause
     return OTHER_CAUSE
 
 
 class _RouteTotals:
-    """The requests of one route in one second."""
+    """The totals of one route for one interval."""
 
     def __init__(self, route: model.Route, service: ids.ServiceName) -> None:
         """Starts at zero."""
@@ -89,12 +90,12 @@
 
     @property
     def count(self) -> int:
-        """All requests."""
+        """The number of all requests."""
         return self.outcomes.total()
 
 
 class RequestTally:
-    """Sums up requests until they are written."""
+    """Adds up requests until the totals are written."""
 
     def __init__(self, journal: journals.Journal) -> None:
         """Starts at zero."""
@@ -102,36 +103,41 @@
         self._totals: dict[tuple[str, ids.ServiceName], _RouteTotals] = {}
 
     def count(
-        self, route: model.Route, service: ids.ServiceName, ended: RequestResult
+        self,
+        route: model.Route,
+        service: ids.ServiceName,
+        result: RequestResult,
     ) -> None:
         """Counts a request that has ended."""
         key = (route.name, service)
-        found = self._totals.get(key)
-        if found is None:
-            found = self._totals[key] = _RouteTotals(route, service)
-        found.first_count += ended.first
-        found.outcomes[ended.outcome] += 1
-        found.held_s[ended.outcome] += ended.held_s
+        totals = self._totals.get(key)
+        if totals is None:
+            totals = self._totals[key] = _RouteTotals(route, service)
+        totals.first_count += result.first
+        totals.outcomes[result.outcome] += 1
+        totals.held_s[result.outcome] += result.held_s
 
     def write(self, span_s: float) -> None:
-        """Writes the sums of the last ``span_s`` seconds, and starts anew."""
-        sums = sorted(self._totals.values(), key=lambda each: -each.count)
+        """Logs the totals of the last ``span_s`` seconds, and resets them."""
+        busiest = sorted(
+            self._totals.values(), key=lambda totals: -totals.count
+        )
         self._totals = {}
-        for each in sums[:_ROUTES_MAX_COUNT]:
+        for totals in busiest[:_ROUTES_MAX_COUNT]:
             self._journal.lifecycle(
                 EVENT,
-                route=each.route.name,
-                service=each.service,
+                route=totals.route.name,
+                service=totals.service,
                 span_s=round(span_s, 3),
-                target_ms=each.route.target_latency_ms,
-                priority=each.route.priority,
-                first=each.first_count,
-                outcomes=dict(each.outcomes),
+                target_ms=totals.route.target_latency_ms,
+                priority=totals.route.priority,
+                first=totals.first_count,
+                outcomes=dict(totals.outcomes),
                 held_s={
                     name: round(held_s, 3)
-                    for name, held_s in each.held_s.items()
+                    for name, held_s in totals.held_s.items()
                 },
             )
-        left_out = sum(each.count for each in sums[_ROUTES_MAX_COUNT:])
+        left_out = sum(totals.count for totals in busiest[_ROUTES_MAX_COUNT:])
         if left_out:
             self._journal.lifecycle(EVENT, route="", left_out=left_out)
--- a/libs/bridgecross-entry/src/bridgecross_entry/tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of the background that outlive their faults."""
+"""Background tasks whose exceptions do not end the process."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,51 +9,51 @@
 from bridgecross_entry import journal as journals
 
 _PAUSE_S = 0.5
-"""The pause before a task that failed is run again: long enough not to fill
-the log, short enough for leases of 2.5 s."""
+"""The pause before a failed task is restarted: long enough not to flood the
+log, and short enough for leases of 2.5 s."""
 
 
 async def run_once(
     work: Callable[[], Awaitable[None]], journal: journals.Journal
 ) -> None:
-    """Runs a task to its end; a fault in it is written and ends it alone.
+    """Runs a task once; an exception is logged and ends only this task.
 
     Args:
         work: The task.
-        journal: Told of a fault.
+        journal: Logs an exception.
     """
     try:
         await work()
     except Exception as error:
-        _write_fault(work, error, journal)
+        _log_failure(work, error, journal)
 
 
 async def keep_running(
     work: Callable[[], Awaitable[None]], journal: journals.Journal
 ) -> None:
-    """Runs a task to its end, again after a fault in it.
+    """Runs a task until it returns, and restarts it after an exception.
 
-    A fault in one of them must not end the requests that are served.
+    An exception in a background task must not end the requests in flight.
 
     Args:
         work: The task.
-        journal: Told of each fault.
+        journal: Logs each exception.
     """
     while True:
         try:
             await work()
             return
         except Exception as error:
-            _write_fault(work, error, journal)
+            _log_failure(work, error, journal)
         await anyio.sleep(_PAUSE_S)
 
 
-def _write_fault(
+def _log_failure(
     work: Callable[[], Awaitable[None]],
     error: Exception,
     journal: journals.Journal,
 ) -> None:
-    """Writes a fault in a task."""
+    """Logs an exception of a task."""
     journal.lifecycle(
         "task_failed",
         task=getattr(work, "__qualname__", str(work)),
--- a/libs/bridgecross-entry/tests/test_caller_age.py
+++ b/libs/bridgecross-entry/tests/test_caller_age.py
@@ -8,7 +8,7 @@
 def _ages(*stated_ms: float) -> caller_age.CallerAgeEstimator:
     ages = caller_age.CallerAgeEstimator(caller_age.CallerAgeSettings())
     for each in stated_ms:
-        ages.note(each)
+        ages.add(each)
     return ages
 
 
--- a/tests/emulated/test_first_start.py
+++ b/tests/emulated/test_first_start.py
@@ -34,7 +34,7 @@
             for _ in range(80):
                 await anyio.sleep(0.1)
                 complete = [
-                    i.parts.beliefs.is_complete for i in house.instances
+                    i.parts.cluster_state.is_complete for i in house.instances
                 ]
                 if all(complete):
                     ready_s = min(ready_s, house.now_s)
--- a/tests/emulated/test_suspended.py
+++ b/tests/emulated/test_suspended.py
@@ -60,7 +60,7 @@
     woken_s = house.now_s
     orders_s = []
     while house.now_s < woken_s + 2 * LEAD_LASTS_S:
-        if leader.parts.duties.may_order:
+        if leader.parts.cluster_tasks.may_order:
             orders_s.append(round(house.now_s - woken_s, 2))
         await anyio.sleep(0.01)
     return orders_s
@@ -76,7 +76,7 @@
         follower.way.cut()
         house.isolate(follower)
         await house.suspend(follower, SUSPENDED_S)
-        ages_s.append(follower.parts.beliefs.configuration_age_s)
+        ages_s.append(follower.parts.cluster_state.configuration_age_s)
 
     _play(act, server_count=3)
     assert orders_s == []
