--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -65,7 +65,7 @@
         self.cell = cell
         self.service = service
         self.changed = notifier.Notifier()
-        self.book = reports.ReportBook(shared.clock)
+        self.book = reports.ReportRegistry(shared.clock)
         self._shared = shared
         self._forwarder = peer_client.PeerForwarder(
             shared.peer_client, shared.addresses, cell, shared.clock
@@ -216,7 +216,7 @@
             appender=shared.control,
             authority=shared.authority,
             membership=shared.membership,
-            book=self.book,
+            registry=self.book,
             peers=shared.peers,
             clock=shared.clock,
             ring=shared.ring,
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -85,7 +85,7 @@
         )
         self.control.attach(self._control_appender, self._control_follower)
         self.control.on_change = self._take_change
-        self._intents = intents.IntentBook(intents.IntentBookSettings())
+        self._intents = intents.IntentRegistry(intents.IntentRegistrySettings())
         # Nobody's authority hangs on this stream, so the log may hold back
         # its answer for long while there is nothing new.
         self._intent_follower = self._follow(
--- a/libs/bridgecross-daemon/tests/test_news.py
+++ b/libs/bridgecross-daemon/tests/test_news.py
@@ -28,7 +28,7 @@
 
 
 class _LogNews:
-    """What is known of the log; see ``authority.NewsSource``."""
+    """What is known of the log; see ``authority.LogView``."""
 
     awaits_snapshot = False
 
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/_prior_owners.py
@@ -90,7 +90,7 @@
         try:
             while wanted := self._list_unreleased(owner):
                 released = await self._ask_once(owner, wanted)
-                self._note_released(owner, wanted, released)
+                self._record_released(owner, wanted, released)
                 if not released:
                     await anyio.sleep(_RETRY_INTERVAL_S)
         finally:
@@ -108,7 +108,7 @@
         reply = await self._ports.releases.await_release(front.front, query)
         return set(reply.released)
 
-    def _note_released(
+    def _record_released(
         self,
         owner: ids.ServerId,
         wanted: list[leases.SliceGrant],
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
@@ -18,7 +18,7 @@
 from bridgecross_core import ids
 
 
-class NewsSource(Protocol):
+class LogView(Protocol):
     """Provides how up to date this instance's view of the log is."""
 
     @property
@@ -27,7 +27,7 @@
 
     @property
     def awaits_snapshot(self) -> bool:
-        """Whether records are missing, so that the state is not whole."""
+        """Whether records are missing, so that the state is incomplete."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,18 +45,18 @@
     def __init__(
         self,
         settings: AuthoritySettings,
-        log_news: NewsSource,
+        log_view: LogView,
         clock: clocks.Clock,
     ) -> None:
         """Starts without authority, until the log has been read once."""
         self.settings = settings
-        self._log_news = log_news
+        self._log_view = log_view
         self._clock = clock
         self._confirmed_s: dict[ids.InstanceId, float] = {}
 
     def has_log(self) -> bool:
         """Returns whether the log itself was read recently enough."""
-        return self._is_fresh(self._log_news.fresh_at_s)
+        return self._is_fresh(self._log_view.fresh_at_s)
 
     def may_front(self, witnesses: Iterable[ids.InstanceId]) -> bool:
         """Returns whether this instance may act as a front now.
@@ -64,7 +64,7 @@
         Args:
             witnesses: The front's witnesses; the confirmation of one is enough.
         """
-        if self._log_news.awaits_snapshot:
+        if self._log_view.awaits_snapshot:
             return False
         if self.has_log():
             return True
@@ -78,7 +78,7 @@
 
         The witnesses should then be asked for a confirmation.
         """
-        silent_s = self._clock.monotonic_s() - self._log_news.fresh_at_s
+        silent_s = self._clock.monotonic_s() - self._log_view.fresh_at_s
         return silent_s > self.settings.authority_ms / 2_000
 
     def confirm(self, witness: ids.InstanceId, sent_s: float) -> None:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/coordinator.py
@@ -76,7 +76,7 @@
     appender: appenders.Appender
     authority: authorities.Authority
     membership: memberships.Membership
-    book: reports.ReportBook
+    registry: reports.ReportRegistry
     peers: PeerWatch
     clock: clocks.Clock
     ring: rings.Ring
@@ -323,7 +323,7 @@
         slices = self._ports.cell.slices
         return sorted(
             index
-            for index in self._list_current(self._ports.book.list_settled())
+            for index in self._list_current(self._ports.registry.list_settled())
             if slices[index].prior
         )
 
@@ -340,18 +340,18 @@
 
     def _list_accepted_fronts(self) -> list[ids.ServerId]:
         """Returns the servers whose earlier fronts the log may forget."""
-        book = self._ports.book
+        registry = self._ports.registry
         return [
             server
             for server, state in self._ports.cell.fronts.items()
             if state.earlier
-            and book.is_front_accepted(server, state.front, state.token)
+            and registry.is_front_accepted(server, state.front, state.token)
         ]
 
     def _build_view(self) -> planner.PlannerView:
         """Returns the planner's view of servers, instances and load."""
         ports = self._ports
-        eligibilities = self._assess_servers()
+        eligibility_by_server = self._assess_servers()
         listed = ports.membership.list_servers(ports.cell.service)
         domains: dict[str, str] = {
             name: listing.failure_domain
@@ -362,18 +362,18 @@
         }
         return planner.PlannerView(
             cell=ports.cell,
-            servers=eligibilities,
+            servers=eligibility_by_server,
             instances=self._list_instances(),
             domains=domains,
-            loads=ports.book.list_loads(),
+            loads=ports.registry.list_loads(),
             unfit_fronts=self._unfit_fronts,
-            handed_over=self._list_current(ports.book.list_handed_over()),
+            handed_over=self._list_current(ports.registry.list_handed_over()),
         )
 
     def _list_instances(self) -> list[ids.InstanceId]:
         """Returns the instances that may be the front of a server."""
         ports = self._ports
-        live = set(ports.book.list_live(self.settings.silence_s))
+        live = set(ports.registry.list_live(self.settings.silence_s))
         live.add(ports.me)
         if self._in_grace():
             live |= set(ports.membership.list_instances())
@@ -385,15 +385,15 @@
         """Returns the eligibility of each listed server."""
         listed = self._ports.membership.list_servers(self._ports.cell.service)
         self._unfit_fronts = set()
-        eligibilities = {}
+        eligibility_by_server = {}
         for server, listing in listed.items():
             leaving = listing.state is memberships.ListedState.LEAVING
-            eligibilities[server] = (
+            eligibility_by_server[server] = (
                 planner.Eligibility.UNUSABLE
                 if leaving
                 else self._assess_server(server, len(listed))
             )
-        return eligibilities
+        return eligibility_by_server
 
     def _assess_server(
         self, server: ids.ServerId, server_count: int
@@ -403,7 +403,7 @@
         state = ports.cell.fronts.get(server)
         if state is None:
             return planner.Eligibility.HELD
-        health = ports.book.find_health(server, state.front)
+        health = ports.registry.find_health(server, state.front)
         if health is lease_manager.ServerHealth.UP:
             return planner.Eligibility.USABLE
         if health is lease_manager.ServerHealth.DRAINING:
@@ -423,7 +423,7 @@
         then counts too.
         """
         ports = self._ports
-        if len(ports.book.list_down_reporters(server)) > 1:
+        if len(ports.registry.list_down_reporters(server)) > 1:
             return planner.Eligibility.UNUSABLE
         now_s = ports.clock.monotonic_s()
         self._evictions = [
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/reports.py
@@ -55,7 +55,7 @@
     received_s: float
 
 
-class ReportBook:
+class ReportRegistry:
     """The newest reports about one service, and its load."""
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -81,7 +81,7 @@
             self._record_health(instance, seen)
 
     def list_live(self, silence_s: float) -> list[ids.InstanceId]:
-        """Returns the instances that reported in the last ``silence_s``."""
+        """Returns the instances that reported in ``silence_s``, sorted."""
         oldest_s = self._clock.monotonic_s() - silence_s
         return sorted(
             instance
@@ -156,7 +156,7 @@
             self._down_reporters.pop(seen.server, None)
 
     def _decay_loads(self, now_s: float) -> None:
-        """Decays the request counts by the time since the last decay."""
+        """Halves the request counts for each half-life since the last call."""
         passed_s = now_s - self._loads_at_s
         if passed_s < _LOAD_HALF_LIFE_S / 10:
             return
--- a/libs/bridgecross-ownership/tests/test_coordinator.py
+++ b/libs/bridgecross-ownership/tests/test_coordinator.py
@@ -35,7 +35,7 @@
 )
 
 
-class _FreshNews:
+class _CurrentLogView:
     """A view of the log that is always up to date."""
 
     fresh_at_s = math.inf
@@ -133,16 +133,18 @@
     return reports.ServiceReport(SERVICE, [seen], **lists)
 
 
-async def _coordinate(cell: cells.Cell, book: reports.ReportBook) -> None:
+async def _coordinate(
+    cell: cells.Cell, registry: reports.ReportRegistry
+) -> None:
     """Runs the coordinator for 0.1 s without further reports."""
-    coordinator = _make_coordinator(cell, book)
+    coordinator = _make_coordinator(cell, registry)
     with anyio.move_on_after(0.1):
         await coordinator.run()
 
 
 def _make_coordinator(
     cell: cells.Cell,
-    book: reports.ReportBook,
+    registry: reports.ReportRegistry,
     settings: coordinators.CoordinatorSettings = SETTINGS,
     peers: _Peers | None = None,
 ) -> coordinators.Coordinator:
@@ -159,10 +161,10 @@
             cell,
             log.appender,
             authorities.Authority(
-                authorities.AuthoritySettings(1_000), _FreshNews(), clock
+                authorities.AuthoritySettings(1_000), _CurrentLogView(), clock
             ),
             _list_members(),
-            book,
+            registry,
             peers or _Peers(),
             clock,
             rings.Ring(rings.RingSettings("t"), hybrid),
@@ -173,31 +175,35 @@
 async def test_a_report_of_an_earlier_move_settles_no_later_one():
     """The front's report is of token 1, and the slice moved to token 2."""
     cell = _cell_after_a_second_move()
-    book = reports.ReportBook(clocks.SystemClock())
-    book.add(ids.InstanceId("b"), _report("rapor-1", settled=_slice_0(1)))
-    book.add(ids.InstanceId("c"), _report("rapor-2"))
-    await _coordinate(cell, book)
+    registry = reports.ReportRegistry(clocks.SystemClock())
+    registry.add(ids.InstanceId("b"), _report("rapor-1", settled=_slice_0(1)))
+    registry.add(ids.InstanceId("c"), _report("rapor-2"))
+    await _coordinate(cell, registry)
     assert cell.slices[0].prior == ("rapor-1",)
 
 
 async def test_a_takeover_of_an_earlier_token_moves_nothing():
     cell = _cell_after_a_second_move()
-    book = reports.ReportBook(clocks.SystemClock())
-    book.add(ids.InstanceId("b"), _report("rapor-1", handed_over=_slice_0(1)))
-    book.add(ids.InstanceId("c"), _report("rapor-2"))
-    await _coordinate(cell, book)
+    registry = reports.ReportRegistry(clocks.SystemClock())
+    registry.add(
+        ids.InstanceId("b"), _report("rapor-1", handed_over=_slice_0(1))
+    )
+    registry.add(ids.InstanceId("c"), _report("rapor-2"))
+    await _coordinate(cell, registry)
     assert (cell.slices[0].server, cell.slices[0].token) == ("rapor-2", 2)
 
 
 async def test_a_report_of_the_newest_token_counts():
     cell = _cell_after_a_second_move()
-    book = reports.ReportBook(clocks.SystemClock())
-    book.add(ids.InstanceId("b"), _report("rapor-1"))
-    book.add(ids.InstanceId("c"), _report("rapor-2", settled=_slice_0(2)))
-    await _coordinate(cell, book)
+    registry = reports.ReportRegistry(clocks.SystemClock())
+    registry.add(ids.InstanceId("b"), _report("rapor-1"))
+    registry.add(ids.InstanceId("c"), _report("rapor-2", settled=_slice_0(2)))
+    await _coordinate(cell, registry)
     assert cell.slices[0].prior == ()
-    book.add(ids.InstanceId("c"), _report("rapor-2", handed_over=_slice_0(2)))
-    await _coordinate(cell, book)
+    registry.add(
+        ids.InstanceId("c"), _report("rapor-2", handed_over=_slice_0(2))
+    )
+    await _coordinate(cell, registry)
     assert cell.slices[0].token > 2, "the log assigns the slice again"
 
 
@@ -233,7 +239,7 @@
     """
     cell = _cell_after_a_second_move()
     coordinator = _make_coordinator(
-        cell, reports.ReportBook(clocks.SystemClock()), QUICK, _Peers(5.0)
+        cell, reports.ReportRegistry(clocks.SystemClock()), QUICK, _Peers(5.0)
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(coordinator.run)
@@ -251,7 +257,7 @@
 async def test_a_coordinator_that_stays_silent_is_replaced_in_time():
     cell = _cell_after_a_second_move()
     coordinator = _make_coordinator(
-        cell, reports.ReportBook(clocks.SystemClock()), QUICK, _Peers(5.0)
+        cell, reports.ReportRegistry(clocks.SystemClock()), QUICK, _Peers(5.0)
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(coordinator.run)
--- a/libs/bridgecross-ownership/tests/test_fronts.py
+++ b/libs/bridgecross-ownership/tests/test_fronts.py
@@ -33,7 +33,7 @@
 )
 
 
-class _FreshNews:
+class _CurrentLogView:
     """A view of the log that is always up to date."""
 
     fresh_at_s = math.inf
@@ -117,7 +117,7 @@
                 ME,
                 self.cell,
                 authorities.Authority(
-                    authorities.AuthoritySettings(100), _FreshNews(), clock
+                    authorities.AuthoritySettings(100), _CurrentLogView(), clock
                 ),
                 self.server,
                 self.others,
--- a/libs/bridgecross-request/src/bridgecross_request/callers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/callers.py
@@ -12,7 +12,7 @@
 
     # The caller's name in the settings.
     caller: str
-    # The caller's tier.
+    # The tier that the caller has bought.
     tier: tree.Tier
 
 
--- a/libs/bridgecross-request/src/bridgecross_request/intents.py
+++ b/libs/bridgecross-request/src/bridgecross_request/intents.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class IntentBookSettings:
+class IntentRegistrySettings:
     """How many intents are remembered."""
 
     # The newest intents that are remembered, about 400 bytes each.
@@ -63,10 +63,10 @@
 _RETURNS = codec.Codec(IntentReturn)
 
 
-class IntentBook:
+class IntentRegistry:
     """The winners among the intents, built from the stream of intents."""
 
-    def __init__(self, settings: IntentBookSettings) -> None:
+    def __init__(self, settings: IntentRegistrySettings) -> None:
         """Starts without intents."""
         self._settings = settings
         self._winners: collections.OrderedDict[_RequestKey, ids.Offset] = (
--- a/libs/bridgecross-request/src/bridgecross_request/runner.py
+++ b/libs/bridgecross-request/src/bridgecross_request/runner.py
@@ -373,7 +373,8 @@
         return queueing.QueueSettings(
             slots=self._settings.slots_per_server,
             starvation_share_ratio=self._settings.starvation_share_ratio,
-            # No request is late here: its target time is its deadline.
+            # Only the deadline is known here, and an answer after it is worth
+            # nothing. So no slots are kept free of late requests.
             late_slots=self._settings.slots_per_server,
             first_guess_s=_FIRST_GUESS_S,
         )
--- a/libs/bridgecross-request/tests/test_intents.py
+++ b/libs/bridgecross-request/tests/test_intents.py
@@ -18,59 +18,65 @@
         self.by_id[record_id] = verdict
 
 
-def _book(capacity: int = 10) -> tuple[intents.IntentBook, _Verdicts]:
-    book = intents.IntentBook(intents.IntentBookSettings(capacity))
+def _make_registry(
+    capacity: int = 10,
+) -> tuple[intents.IntentRegistry, _Verdicts]:
+    registry = intents.IntentRegistry(intents.IntentRegistrySettings(capacity))
     verdicts = _Verdicts()
-    book.attach(verdicts)  # type: ignore[arg-type]
-    return book, verdicts
+    registry.attach(verdicts)  # type: ignore[arg-type]
+    return registry, verdicts
 
 
-def _apply(book, offset: int, kind: str, body: bytes) -> None:
+def _apply(registry, offset: int, kind: str, body: bytes) -> None:
     envelope = records.Envelope(
         f"r{offset}", kind, "entry-1", hybrid_clock.Timestamp(0, 0), body
     )
     data = records.encode_envelope(envelope)
-    book.apply(service.StoredRecord(ids.Offset(offset), data))
+    registry.apply(service.StoredRecord(ids.Offset(offset), data))
 
 
-def _ask(book, offset: int, intent: intents.Intent = INTENT) -> None:
-    _apply(book, offset, intents.INTENT_KIND, intents._INTENTS.encode(intent))
+def _ask(registry, offset: int, intent: intents.Intent = INTENT) -> None:
+    _apply(
+        registry, offset, intents.INTENT_KIND, intents._INTENTS.encode(intent)
+    )
 
 
-def _return(book, offset: int, won_at: int) -> None:
+def _return(registry, offset: int, won_at: int) -> None:
     returned = intents.IntentReturn(*INTENT, ids.Offset(won_at))
-    _apply(book, offset, intents.RETURN_KIND, intents._RETURNS.encode(returned))
+    _apply(
+        registry, offset, intents.RETURN_KIND, intents._RETURNS.encode(returned)
+    )
 
 
 def test_the_first_intent_wins_on_every_reader():
     for _ in range(2):
-        book, verdicts = _book()
-        _ask(book, 0)
-        _ask(book, 1)
-        _ask(book, 2, INTENT._replace(caller="aydin"))
+        registry, verdicts = _make_registry()
+        _ask(registry, 0)
+        _ask(registry, 1)
+        _ask(registry, 2, INTENT._replace(caller="aydin"))
         kinds = [type(v) for v in verdicts.by_id.values()]
         assert kinds == [appender.Applied, appender.Void, appender.Applied]
 
 
 def test_a_right_that_was_given_back_can_be_won_again():
-    book, verdicts = _book()
-    _ask(book, 0)
-    _return(book, 1, won_at=0)
-    _ask(book, 2)
+    registry, verdicts = _make_registry()
+    _ask(registry, 0)
+    _return(registry, 1, won_at=0)
+    _ask(registry, 2)
     assert isinstance(verdicts.by_id["r2"], appender.Applied)
 
 
 def test_only_the_winner_gives_a_right_back():
-    book, verdicts = _book()
-    _ask(book, 0)
-    _return(book, 1, won_at=5)
-    _ask(book, 2)
+    registry, verdicts = _make_registry()
+    _ask(registry, 0)
+    _return(registry, 1, won_at=5)
+    _ask(registry, 2)
     assert isinstance(verdicts.by_id["r1"], appender.Void)
     assert isinstance(verdicts.by_id["r2"], appender.Void)
 
 
 def test_a_damaged_record_gives_nobody_a_right():
-    book, verdicts = _book()
-    book.apply(service.StoredRecord(ids.Offset(0), b"\x00torn"))
-    _apply(book, 1, intents.INTENT_KIND, b"\x00torn")
+    registry, verdicts = _make_registry()
+    registry.apply(service.StoredRecord(ids.Offset(0), b"\x00torn"))
+    _apply(registry, 1, intents.INTENT_KIND, b"\x00torn")
     assert verdicts.by_id == {}
