--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -205,4 +205,4 @@
         self.book.configure(new.services)
         self.dispatcher.configure(new)
         self.on_configuration(new)
-        self.cluster_tasks.match_coordinators()
+        self.cluster_tasks.update_coordinators()
