--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -18,7 +18,7 @@
 
 
 class NoBackends:
-    """A ``attempts.BackendClient`` that nobody calls."""
+    """An ``attempts.BackendClient`` that is never called."""
 
     def is_connected(self, server):
         return False
@@ -59,7 +59,7 @@
             metrics.Metrics(),
             real,
         )
-        self.reader.on_configure = self.cluster_tasks.match_coordinators
+        self.reader.on_configure = self.cluster_tasks.update_coordinators
 
 
 @pytest.fixture
