--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -104,9 +104,9 @@
                 continue
             used = [
                 s.listed.name
-                for s in instance.parts.book.of_service(instances.SERVICE)
+                for s in instance.parts.registry.of_service(instances.SERVICE)
                 if s.listed.failure_domain == domain
-                and instance.parts.book.may_use(
+                and instance.parts.registry.may_use(
                     s, instance.parts.clock.monotonic_s()
                 )
             ]
--- a/libs/bridgecross-entry/src/bridgecross_entry/admission.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/admission.py
@@ -38,12 +38,12 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Starts without queues."""
         self._settings = settings
-        self._book = book
+        self._registry = registry
         self._clock = clock
         self._queues: dict[ids.ServiceName, _CountedQueue] = {}
 
@@ -61,10 +61,10 @@
 
     def _count_slots(self, service: ids.ServiceName) -> queueing.QueueSettings:
         """Returns queue settings for the slots that a service has now."""
-        room = self._book.room_count(service)
+        room = self._registry.room_count(service)
         return queueing.QueueSettings(
             room.room,
             starvation_share_ratio=0.0,
             late_slots=room.late,
-            first_guess_s=self._book.settings.first_guess_s,
+            first_guess_s=self._registry.settings.first_guess_s,
         )
--- a/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/assembly.py
@@ -85,17 +85,17 @@
         )
         self.backend_client = adapter.make_backend_client()
         self.lease_client = adapter.make_lease_client()
-        self.book = servers_lib.ServerRegistry(
+        self.registry = servers_lib.ServerRegistry(
             servers_lib.ServerSettings(), self.settings.bounds, journal, clock
         )
-        self.backend_client.on_notice = self.book.notices.record
-        self.lease_client.on_notice = self.book.notices.record
+        self.backend_client.on_notice = self.registry.notices.record
+        self.lease_client.on_notice = self.registry.notices.record
         self.table = keymap.KeyTable(journal)
         self.issuer = permit_issuer.PermitIssuer(
             permit_issuer.IssuerSettings(),
             permit_issuer.SERVER_SETTINGS,
             self.settings.failure_domain,
-            self.book,
+            self.registry,
             journal,
             self.metrics,
             clock,
@@ -108,11 +108,11 @@
             self.settings,
             self.issuer,
             self._strong_instances,
-            self.book.domains_of,
+            self.registry.domains_of,
             journal,
             clock,
             connect_peer,
-            self.book.slot_share,
+            self.registry.slot_share,
         )
         self.watch = crash_watch.CrashWatch(
             crash_watch.CrashWatchSettings(),
@@ -120,7 +120,7 @@
                 poison_requests.PoisonSettings(), clock
             ),
             self.backend_client,
-            self.book,
+            self.registry,
             journal,
             self.metrics,
             clock,
@@ -128,7 +128,7 @@
         self.dispatcher = dispatch.Dispatcher(
             dispatch.DispatchSettings(),
             self.settings,
-            self.book,
+            self.registry,
             self.table,
             self.backend_client,
             journal,
@@ -144,7 +144,7 @@
             else cluster_state.ClusterStateSettings(),
             self.log,
             adapter,
-            self.book,
+            self.registry,
             self.table,
             self._configure,
             journal,
@@ -172,7 +172,7 @@
                 peers.PeerSettings(), journal, clock, connect_peer
             ),
             self.cluster_state,
-            self.book,
+            self.registry,
             self.table,
             self.dispatcher,
             journal,
@@ -190,11 +190,11 @@
 
     def sweep(self) -> None:
         """Removes stale state."""
-        self.book.drop_stale()
+        self.registry.drop_stale()
         self.issuer.sweep()
         self.watch.sweep()
-        self.backend_client.sweep(self.book.known_ids())
-        self.lease_client.sweep(self.book.known_ids())
+        self.backend_client.sweep(self.registry.known_ids())
+        self.lease_client.sweep(self.registry.known_ids())
 
     def _strong_instances(self, domain: str) -> tuple[model.Address, ...]:
         """Returns the instances of a domain that may issue permits."""
@@ -202,7 +202,7 @@
 
     def _configure(self, new: model.Configuration) -> None:
         """Applies a new configuration."""
-        self.book.configure(new.services)
+        self.registry.configure(new.services)
         self.dispatcher.configure(new)
         self.on_configuration(new)
         self.cluster_tasks.update_coordinators()
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -163,7 +163,7 @@
         settings: ClusterStateSettings,
         log: logs.PlatformLog,
         decoder: Decoder,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         configure: Callable[[model.Configuration], None],
         journal: journals.Journal,
@@ -175,7 +175,7 @@
             settings: The timing of reads.
             log: The platform's log.
             decoder: Decodes its records.
-            book: Receives the servers.
+            registry: Receives the servers.
             table: Receives the key maps.
             configure: Called with each newer configuration.
             journal: Receives lines about changes and invalid records.
@@ -200,7 +200,7 @@
         self._settings = settings
         self._log = log
         self._decoder = decoder
-        self._book = book
+        self._registry = registry
         self._table = table
         self._configure = configure
         self._journal = journal
@@ -213,7 +213,7 @@
         }
         self._servers = feeds.Feed(decoder.server_topic)
         self._list = server_list.ServerList(
-            self._servers, decoder.decode_server, book, journal, clock
+            self._servers, decoder.decode_server, registry, journal, clock
         )
         self._follow(
             self._servers,
@@ -466,7 +466,7 @@
     ) -> None:
         """Applies the newest records, some of which may be known."""
         self._configurations.put_all(records)
-        evacuated = self._book.evacuations.domains
+        evacuated = self._registry.evacuations.domains
         changes, invalid = self._read_evacuations(records)
         # An evacuation without a record has ended; one with an invalid record
         # remains.
@@ -525,7 +525,7 @@
         """Applies changes of evacuations."""
         if changes:
             last_known_s = self._configurations.follower.as_of_s
-            self._book.evacuate(changes, last_known_s)
+            self._registry.evacuate(changes, last_known_s)
 
     def _apply_newest_configuration(
         self, records: tuple[logs.KeyedRecord, ...]
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -69,7 +69,7 @@
         lease_client: attempts.LeaseClient,
         peer_client: peers.PeerClient,
         state: cluster_state.ClusterState,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         dispatcher: dispatch.Dispatcher,
         journal: journals.Journal,
@@ -85,7 +85,7 @@
             lease_client: Sends orders to backend servers.
             peer_client: Calls other instances.
             state: The cluster state of this instance.
-            book: The backend servers.
+            registry: The backend servers.
             table: The key maps.
             dispatcher: Counts the load of this instance.
             journal: Receives lines about decisions.
@@ -97,7 +97,7 @@
         self._log = log
         self._lease_client = lease_client
         self._state = state
-        self._book = book
+        self._registry = registry
         self._table = table
         self._dispatcher = dispatcher
         self._journal = journal
@@ -283,7 +283,7 @@
         count = len(self._peers()) + 1
         if count != self._dispatcher.instance_count:
             self._dispatcher.instance_count = count
-            self._book.set_instances(count)
+            self._registry.set_instances(count)
 
     def _apply_map(self, key_map: keymap.KeyMap) -> None:
         """Applies a map that its coordinator pushed."""
@@ -376,7 +376,7 @@
             self._instance.bounds,
             self._leadership,
             self._lease_client,
-            self._book,
+            self._registry,
             self._journal,
             self._metrics,
             self._clock,
@@ -390,7 +390,7 @@
             cluster_state.KEY_TOPIC,
             self._state.key_follower,
             keeper,
-            self._book,
+            self._registry,
             self._table,
             self._view(service),
             lambda: self._state.list_is_fresh,
--- a/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/coordinator.py
@@ -78,7 +78,7 @@
         topic: str,
         follower: followers.Follower,
         lease_manager: leases.LeaseManager,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         loads: load_view.LoadView,
         list_is_fresh: Callable[[], bool],
@@ -99,7 +99,7 @@
             topic: The log topic of key maps.
             follower: This instance's reader of that topic.
             lease_manager: Sends grants and releases to backend servers.
-            book: The known backend servers.
+            registry: The known backend servers.
             table: The key maps in use at this instance.
             loads: The measured load of the service.
             list_is_fresh: Whether the list of servers is up to date.
@@ -117,7 +117,7 @@
         self._topic = topic
         self._follower = follower
         self._lease_manager = lease_manager
-        self._book = book
+        self._registry = registry
         self._table = table
         self._loads = loads
         self._list_is_fresh = list_is_fresh
@@ -194,7 +194,8 @@
         """Whether all servers seem to have registered."""
         now_s = self._clock.monotonic_s()
         joined_s = [
-            server.joined_s for server in self._book.of_service(self._service)
+            server.joined_s
+            for server in self._registry.of_service(self._service)
         ]
         if not joined_s:
             return False
@@ -350,7 +351,7 @@
     async def _watch_list(self) -> None:
         """Triggers planning when the list of servers changes."""
         while True:
-            await self._book.changed.wait(60)
+            await self._registry.changed.wait(60)
             self._wake.notify()
 
     def _confirmed_owners(self) -> set[ids.ServerId]:
@@ -395,8 +396,8 @@
         now_s = self._clock.monotonic_s()
         return [
             server.listed
-            for server in self._book.of_service(self._service)
-            if self._book.is_staying(server, now_s)
+            for server in self._registry.of_service(self._service)
+            if self._registry.is_staying(server, now_s)
             and not self._lease_manager.is_lost(server.listed.server_id)
             and not self._lease_manager.is_unreachable(server.listed.server_id)
         ]
@@ -420,8 +421,8 @@
 
     def _cold_capacity_per_s(self, server_id: ids.ServerId) -> float | None:
         """Returns the load allowed on a cold server; None if it is warm."""
-        server = self._book.get(server_id)
-        rate_per_s = self._book.cold_rate_per_s(server) if server else None
+        server = self._registry.get(server_id)
+        rate_per_s = self._registry.cold_rate_per_s(server) if server else None
         if rate_per_s is None:
             return None
         settings = warmups.WarmupSettings()
@@ -436,7 +437,7 @@
         eligible = self._eligible_servers()
         if not eligible or not self._list_is_fresh():
             return
-        self._book.note_owners(self._service, self._possible_holders())
+        self._registry.note_owners(self._service, self._possible_holders())
         self._loads.advance(eligible, self._clock.monotonic_s())
         capacities = self._capacities(eligible)
         movable = tuple(r for r in self._ranges if self._is_movable(r))
@@ -480,10 +481,10 @@
         """
         moves = [
             planner.Move(
-                r.first_key, r.last_key, self._book.latest_run(r.owner)
+                r.first_key, r.last_key, self._registry.latest_run(r.owner)
             )
             for r in movable
-            if self._book.latest_run(r.owner) != r.owner
+            if self._registry.latest_run(r.owner) != r.owner
         ]
         # A cold server gets no more keys than evacuation would assign to it.
         return tuple(
--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -87,7 +87,7 @@
         settings: CrashWatchSettings,
         ledger: poison_requests.PoisonLedger,
         client: attempts.BackendClient,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
@@ -98,7 +98,7 @@
             settings: Timing of probes.
             ledger: Receives ends and answers.
             client: Probes servers.
-            book: Reports runs that have ended.
+            registry: Reports runs that have ended.
             journal: Records ends.
             metrics: Counts ends.
             clock: Measures all times.
@@ -121,7 +121,7 @@
         ] = {}
         self._settings = settings
         self._client = client
-        self._book = book
+        self._registry = registry
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
@@ -133,7 +133,7 @@
         # Probes in progress.
         self._probes: dict[ids.ServerId, anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
-        book.on_run_ended = self.note_ended
+        registry.on_run_ended = self.note_ended
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Enables probes.
@@ -237,7 +237,7 @@
             sent_request.state = _State.GIVEN_UP
             return
         sent_request.state = _State.BROKEN
-        if self._book.has_ended(server_id):
+        if self._registry.has_ended(server_id):
             self.note_ended(server_id)
         else:
             self._start_probe(sent_request.server)
@@ -326,7 +326,7 @@
 
     async def _is_refusing(self, server: model.BackendServer) -> bool:
         """Whether a server's address refuses connections."""
-        if self._book.notices.wants_backoff(server.server_id):
+        if self._registry.notices.wants_backoff(server.server_id):
             return False
         if not await self._client.is_refusing(server):
             return False
--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -145,7 +145,7 @@
         self,
         settings: DispatchSettings,
         instance: model.InstanceSettings,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         table: keymap.KeyTable,
         client: attempts.BackendClient,
         journal: journals.Journal,
@@ -159,7 +159,7 @@
         Args:
             settings: How requests are dispatched and retried.
             instance: The settings of this instance.
-            book: The known backend servers.
+            registry: The known backend servers.
             table: The owners of the keys.
             client: Sends requests to backend servers.
             journal: Logs the outcome of each request.
@@ -184,7 +184,7 @@
         self.tally = tallies.RequestTally(journal)
         self._settings = settings
         self._instance = instance
-        self._book = book
+        self._registry = registry
         self._table = table
         self._client = client
         self._journal = journal
@@ -197,7 +197,7 @@
                 poison_requests.PoisonSettings(), clock
             ),
             client,
-            book,
+            registry,
             journal,
             metrics,
             clock,
@@ -207,9 +207,9 @@
         ] = {}
         self._caller_ages: dict[str, caller_age.CallerAgeEstimator] = {}
         self._selector = server_selection.ServerSelector(
-            settings.selection, instance, book, client, clock
+            settings.selection, instance, registry, client, clock
         )
-        self._queues = admission.ServiceQueues(settings.queues, book, clock)
+        self._queues = admission.ServiceQueues(settings.queues, registry, clock)
 
     def configure(self, configuration: model.Configuration) -> None:
         """Applies a new configuration."""
@@ -393,7 +393,10 @@
         self, state: _RequestState
     ) -> outcomes.Outcome | None:
         """Sends a request to any server of a service without keys."""
-        if state.shed_by is not None or self._book.notices.any_wants_backoff:
+        if (
+            state.shed_by is not None
+            or self._registry.notices.any_wants_backoff
+        ):
             usable = self._selector.list_usable(state.route, state.service)
             refusal = self._refuse_if_full(state, usable)
             if refusal is not None:
@@ -402,7 +405,7 @@
         if isinstance(permit, outcomes.NotRun):
             return self._make_final_outcome(state, permit)
         if permit is not None:
-            granted_server = self._book.get(permit.server_id)
+            granted_server = self._registry.get(permit.server_id)
             if granted_server and self._selector.exclude_overloaded(
                 [granted_server], state.shed_by
             ):
@@ -442,7 +445,7 @@
         # The servers that could serve it, if all are cold and need a permit.
         cold: list[servers_lib.Server] = []
         if owner is not None:
-            cold = [owner] if self._book.is_cold(owner) else []
+            cold = [owner] if self._registry.is_cold(owner) else []
         elif not is_used or state.skips_permits:
             usable = self._selector.list_usable(state.route, state.service)
             available = self._selector.exclude_backoffs(usable)
@@ -607,7 +610,7 @@
             now_s = self._clock.monotonic_s()
             waited_s = now_s - started_s
             owner = self._table.find(state.service, key)
-            server = self._book.get(owner.server_id) if owner else None
+            server = self._registry.get(owner.server_id) if owner else None
             if server and not self._selector.is_allowed(
                 state.route, server.listed.failure_domain
             ):
@@ -616,7 +619,7 @@
                     "the owner of the key is in another area",
                     settings.repeat_retry_after_ms,
                 )
-            if owner and self._book.notices.is_past_drain_limit(
+            if owner and self._registry.notices.is_past_drain_limit(
                 owner.server_id, now_s
             ):
                 # Its keys have not moved since it announced that it leaves, and
@@ -626,7 +629,7 @@
                     "the owner of the key has left",
                     settings.repeat_retry_after_ms,
                 )
-            if owner and server and self._book.may_use(server, now_s):
+            if owner and server and self._registry.may_use(server, now_s):
                 wait_left_s = settings.move_wait_ratio * target_s - waited_s
                 if owner.settled or wait_left_s <= 0:
                     return server
@@ -780,11 +783,11 @@
             return False
         if self.watch.ledger.refused_for_s(state.fingerprint):
             return False
-        if self._book.notices.wants_backoff(server.listed.server_id):
+        if self._registry.notices.wants_backoff(server.listed.server_id):
             reason = "it rests"
         elif not self._is_choice_valid(state, server, now_s, keyed=keyed):
             reason = "left meanwhile"
-        elif self._book.is_cold(server) and not self._covers_cold_server(
+        elif self._registry.is_cold(server) and not self._covers_cold_server(
             permit
         ):
             reason = "it is cold"
@@ -807,7 +810,7 @@
         The list of servers says so, but a stale list may lack that the server
         has restarted under the same name. In this case the server is asked.
         """
-        service = self._book.service_of(server)
+        service = self._registry.service_of(server)
         as_of_s = self.server_list_as_of_s()
         if service is None or service.warmup_rate_per_s is None:
             return True
@@ -844,8 +847,8 @@
         ):
             return False
         if not keyed:
-            return self._book.may_use_without_key(server, now_s)
-        return self._book.may_use(server, now_s) and self._is_owner(
+            return self._registry.may_use_without_key(server, now_s)
+        return self._registry.may_use(server, now_s) and self._is_owner(
             state, server
         )
 
@@ -888,7 +891,7 @@
             state.shed_by = server_id
             server.note_answer(held_s, failed=True)
             server.shrink_room(now_s)
-            backoff_s = self._book.notices.backoff_left_s(server_id)
+            backoff_s = self._registry.notices.backoff_left_s(server_id)
             backoff_text = (
                 f", asks for {backoff_s:.1f} s of rest" if backoff_s else ""
             )
@@ -899,7 +902,7 @@
             state.trail.append(f"{server_id}: not the owner")
             is_other_server = result.answered_by != server.listed.name
             if result.answered_by and is_other_server:
-                self._book.end(
+                self._registry.end(
                     server_id, f"{result.answered_by} has its address"
                 )
             else:
--- a/libs/bridgecross-entry/src/bridgecross_entry/leases.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leases.py
@@ -93,7 +93,7 @@
         bounds: model.Bounds,
         lead: Lead,
         client: attempts.LeaseClient,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
@@ -106,7 +106,7 @@
         self._bounds = bounds
         self._lead = lead
         self._client = client
-        self._book = book
+        self._registry = registry
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
@@ -145,7 +145,7 @@
 
     def is_responsive(self, server_id: ids.ServerId) -> bool:
         """Whether a server is known and answered its last orders."""
-        known = self._book.get(server_id) is not None
+        known = self._registry.get(server_id) is not None
         return known and server_id not in self._silent
 
     @property
@@ -168,7 +168,7 @@
                 order, since a range may have been moved while earlier orders
                 were waiting for their answers.
         """
-        server = self._book.get(server_id)
+        server = self._registry.get(server_id)
         if server is None:
             return
         if server_id in self._silent and not await self._probe_silent(server):
@@ -216,11 +216,11 @@
         while True:
             # Orders meant for an earlier run may have reached the latest one,
             # so the release goes to the latest run.
-            holder = self._book.latest_run(prior)
+            holder = self._registry.latest_run(prior)
             if self._cannot_hold(prior, holder, key_range):
                 proof = self._proof_of_release(prior, holder, key_range)
                 return proofs.Reclaimed(proof)
-            server = self._book.get(holder)
+            server = self._registry.get(holder)
             if server is None or not self.previous_orders_expired:
                 # A server missing from our list may still be running, since
                 # the list may be out of date.
@@ -272,7 +272,7 @@
             key_range: The range as it is after the move.
         """
         if holder == prior:
-            has_ended = self._book.has_ended(prior)
+            has_ended = self._registry.has_ended(prior)
             return has_ended or self._leases_expired(prior)
         if holder == key_range.owner:
             # The range stays on the same server under a higher token.
@@ -288,7 +288,7 @@
         """Returns the proof that a server no longer holds a range."""
         if holder != prior and holder == key_range.owner:
             return proofs.Proof.SAME_SERVER
-        if holder == prior and self._book.has_ended(prior):
+        if holder == prior and self._registry.has_ended(prior):
             return proofs.Proof.RUN_ENDED
         return proofs.Proof.LEASE_OVER
 
@@ -344,7 +344,7 @@
         while tries_count < self._settings.grant_tries_max_count:
             while not self._lead.may_order:
                 await anyio.sleep(self._settings.order_pause_s)
-            server = self._book.get(key_range.owner)
+            server = self._registry.get(key_range.owner)
             if server is None or self.is_unreachable(key_range.owner):
                 return False
             if not is_current(key_range):
@@ -423,7 +423,7 @@
     ) -> bool:
         """Records and returns whether a result shows that a run has ended."""
         if isinstance(result, attempts.Gone):
-            self._book.end(server_id, result.reason)
+            self._registry.end(server_id, result.reason)
             return True
         return False
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -99,7 +99,7 @@
         settings: IssuerSettings,
         server_settings: servers_lib.ServerSettings,
         domain: str,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         journal: journals.Journal,
         metrics: metrics_lib.Metrics,
         clock: clocks.Clock,
@@ -112,7 +112,7 @@
             settings: Timing and limits.
             server_settings: How servers are rated by the outcomes of permits.
             domain: The failure domain of this instance.
-            book: The servers that this instance knows.
+            registry: The servers that this instance knows.
             journal: Records permits that were never returned.
             metrics: Counts verdicts.
             clock: Measures all times.
@@ -126,13 +126,13 @@
         self._settings = settings
         self._server_settings = server_settings
         self._domain = domain
-        self._book = book
+        self._registry = registry
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
         self._is_sole_issuer = is_sole_issuer
         self._warmups = warmups_lib.WarmupLedger(
-            warmups or warmups_lib.WarmupSettings(), book.bounds, clock
+            warmups or warmups_lib.WarmupSettings(), registry.bounds, clock
         )
         self._pools: dict[ids.ServiceName, _Pool] = {}
         self._granted: dict[str, _GrantedPermit] = {}
@@ -247,7 +247,7 @@
 
         The requesting instance may not have been asked for it, but would be.
         """
-        return self._book.notices.backoff_left_s(server.listed.server_id)
+        return self._registry.notices.backoff_left_s(server.listed.server_id)
 
     # Cold servers.
 
@@ -257,11 +257,11 @@
 
     def _cold_rate_per_s(self, server: servers_lib.Server) -> float | None:
         """Returns the request rate for a cold server; None if it is warm."""
-        registered = self._book.get(server.listed.server_id)
+        registered = self._registry.get(server.listed.server_id)
         return (
             None
             if registered is None
-            else self._book.cold_rate_per_s(registered)
+            else self._registry.cold_rate_per_s(registered)
         )
 
     def _cold_wait_s(
@@ -275,7 +275,7 @@
         wait_s = math.inf
         if self._is_sole_issuer(service):
             wait_s = self._warmups.wait_s(server_id, rate_per_s)
-        registered = self._book.get(server_id)
+        registered = self._registry.get(server_id)
         if registered is None:
             return wait_s
         # The server is warm by then.
@@ -478,7 +478,7 @@
             server.note_interrupted()
         elif outcome is permits.Outcome.REFUSED:
             server.note_refused(now_s)
-            registered = self._book.get(server.listed.server_id)
+            registered = self._registry.get(server.listed.server_id)
             if registered is not None:
                 # The next server to answer there has just started, whichever
                 # instance reaches it.
@@ -537,18 +537,18 @@
         """Updates the servers of a pool from the known ones."""
         near = [
             server
-            for server in self._book.of_service(service)
+            for server in self._registry.of_service(service)
             if server.listed.failure_domain == self._domain
         ]
         listed = {
             server.listed.server_id: server.listed
             for server in near
-            if self._book.may_use(server, now_s)
+            if self._registry.may_use(server, now_s)
         }
         pool.staying = {
             server.listed.server_id
             for server in near
-            if self._book.is_staying(server, now_s)
+            if self._registry.is_staying(server, now_s)
         }
         for server_id in pool.servers.keys() - listed.keys():
             del pool.servers[server_id]
--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -203,9 +203,9 @@
         for topic, count in counts.items():
             labels = {"what": "unreadable", "topic": topic}
             self._parts.metrics.topics.set(labels, count)
-        evacuated = self._parts.book.evacuations.domains
+        evacuated = self._parts.registry.evacuations.domains
         gauge.set({"what": "evacuated_domains"}, len(evacuated))
-        notices = self._parts.book.notices
+        notices = self._parts.registry.notices
         gauge.set({"what": "servers_said_leaving"}, notices.leaving_count)
         gauge.set({"what": "servers_resting"}, notices.backoff_count)
         gauge.set({"what": "instances"}, self._parts.dispatcher.instance_count)
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_list.py
@@ -23,7 +23,7 @@
         self,
         feed: feeds.Feed,
         decode: DecodeServer,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         journal: journals.Journal,
         clock: clocks.Clock,
     ) -> None:
@@ -32,7 +32,7 @@
         Args:
             feed: Stores what must be relayed to others.
             decode: Decodes entries.
-            book: Receives the servers.
+            registry: Receives the servers.
             journal: Receives lines about invalid entries.
             clock: Measures how long ago the log became available again.
         """
@@ -40,7 +40,7 @@
         self.listed: dict[str, model.BackendServer] = {}
         self._feed = feed
         self._decode_entry = decode
-        self._book = book
+        self._registry = registry
         self._clock = clock
         # Invalid entries.
         self.invalid_records = invalid_records.InvalidRecords(
@@ -50,7 +50,7 @@
     def apply_all(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Replaces the whole list of backend servers."""
         before = self.listed
-        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
+        self._registry.previous_list_as_of_s = self._feed.follower.as_of_s
         self.listed = {}
         for record in records:
             server = self._choose_run(
@@ -73,15 +73,17 @@
                 self._remove_other_run(known, server)
             elif name in present:
                 # Its entry exists but is invalid.
-                self._book.remove(known.server_id, log_was_unavailable=False)
-        self._book.replace_all(
+                self._registry.remove(
+                    known.server_id, log_was_unavailable=False
+                )
+        self._registry.replace_all(
             self.listed.values(),
             log_was_unavailable=self._log_was_unavailable(),
         )
 
     def apply_changes(self, records: tuple[logs.KeyedRecord, ...]) -> None:
         """Applies changed entries; most of them change nothing that matters."""
-        self._book.previous_list_as_of_s = self._feed.follower.as_of_s
+        self._registry.previous_list_as_of_s = self._feed.follower.as_of_s
         newest: dict[str, logs.KeyedRecord] = {}
         # Also contains entries that changed and changed back, since other
         # instances may have applied the state in between.
@@ -118,7 +120,7 @@
         known = self.listed.pop(name, None)
         if server is None:
             if known is not None:
-                self._book.remove(
+                self._registry.remove(
                     known.server_id,
                     log_was_unavailable=self._log_was_unavailable(),
                 )
@@ -126,7 +128,7 @@
         self.listed[name] = server
         if known is not None:
             self._remove_other_run(known, server)
-        self._book.put(server)
+        self._registry.put(server)
 
     def _choose_run(
         self,
@@ -159,7 +161,7 @@
         """
         if (server.started_ms or 0) > (known.started_ms or 0):
             reason = f"it has restarted as {server.server_id}"
-            self._book.end(known.server_id, reason)
+            self._registry.end(known.server_id, reason)
 
     def _remove_other_run(
         self, known: model.BackendServer, server: model.BackendServer
@@ -168,7 +170,7 @@
         if known.server_id != server.server_id:
             # That run may not have ended: its entry was removed in between, and
             # by the server's clock the new run began earlier.
-            self._book.remove(known.server_id, log_was_unavailable=False)
+            self._registry.remove(known.server_id, log_was_unavailable=False)
 
     def _decode(self, record: logs.KeyedRecord) -> model.BackendServer | None:
         """Returns the server of an entry; None if it is removed or invalid."""
@@ -185,7 +187,7 @@
         """Whether entries may have expired for lack of the log."""
         follower = self._feed.follower
         now_s = self._clock.monotonic_s()
-        grace_s = self._book.settings.lapse_grace_s
+        grace_s = self._registry.settings.lapse_grace_s
         return (
             follower.lost_since_s is not None
             or now_s < follower.regained_s + grace_s
--- a/libs/bridgecross-entry/src/bridgecross_entry/server_selection.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/server_selection.py
@@ -28,7 +28,7 @@
         self,
         settings: SelectionSettings,
         instance: model.InstanceSettings,
-        book: servers_lib.ServerRegistry,
+        registry: servers_lib.ServerRegistry,
         client: attempts.BackendClient,
         clock: clocks.Clock,
     ) -> None:
@@ -37,13 +37,13 @@
         Args:
             settings: How servers are compared.
             instance: The settings of this instance.
-            book: The known servers and the observations of them.
+            registry: The known servers and the observations of them.
             client: Knows which servers have open connections.
             clock: The time source.
         """
         self._settings = settings
         self._instance = instance
-        self._book = book
+        self._registry = registry
         self._client = client
         self._clock = clock
 
@@ -62,8 +62,8 @@
         now_s = self._clock.monotonic_s()
         return [
             server
-            for server in self._book.of_service(service)
-            if self._book.may_use_without_key(server, now_s)
+            for server in self._registry.of_service(service)
+            if self._registry.may_use_without_key(server, now_s)
             and self.is_allowed(route, server.listed.failure_domain)
         ]
 
@@ -71,7 +71,7 @@
         self, servers: Sequence[servers_lib.Server]
     ) -> list[servers_lib.Server]:
         """Returns the servers that have not asked for a backoff."""
-        notices = self._book.notices
+        notices = self._registry.notices
         if not notices.any_wants_backoff:
             return list(servers)
         return [
@@ -94,23 +94,23 @@
 
     def ids_in_backoff(self, service: ids.ServiceName) -> set[ids.ServerId]:
         """Returns the servers of a service that asked for a backoff."""
-        notices = self._book.notices
+        notices = self._registry.notices
         if not notices.any_wants_backoff:
             return set()
-        servers = self._book.of_service(service)
+        servers = self._registry.of_service(service)
         known = [server.listed.server_id for server in servers]
         return set(filter(notices.wants_backoff, known))
 
     def backoff_left_s(self, servers: Sequence[servers_lib.Server]) -> float:
         """Returns the time until the first of the servers' backoffs is over."""
-        backoff_left_s = self._book.notices.backoff_left_s
+        backoff_left_s = self._registry.notices.backoff_left_s
         return min(
             (backoff_left_s(s.listed.server_id) for s in servers), default=0
         )
 
     def are_cold(self, servers: Sequence[servers_lib.Server]) -> bool:
         """Whether there is at least one server and all of them are cold."""
-        return bool(servers) and all(map(self._book.is_cold, servers))
+        return bool(servers) and all(map(self._registry.is_cold, servers))
 
     def warm_in_s(self, servers: Sequence[servers_lib.Server]) -> float:
         """Returns the time until the first of some cold servers is warm."""
@@ -130,8 +130,8 @@
             tried: The servers that the request has been sent to.
         """
         now_s = self._clock.monotonic_s()
-        warm = [s for s in servers if not self._book.is_cold(s)]
-        staying = [s for s in warm if self._book.is_staying(s, now_s)]
+        warm = [s for s in servers if not self._registry.is_cold(s)]
+        staying = [s for s in warm if self._registry.is_staying(s, now_s)]
         candidates = staying or warm
         ready = [s for s in candidates if s.paused_until_s <= now_s]
         candidates = ready or candidates
--- a/libs/bridgecross-entry/tests/cluster_state_support.py
+++ b/libs/bridgecross-entry/tests/cluster_state_support.py
@@ -69,7 +69,7 @@
     ) -> None:
         real = clock.SystemClock()
         journal = written or support.make_journal(real)
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.versions: list[int] = []
@@ -79,7 +79,7 @@
             cluster_state.ClusterStateSettings(),
             platform_log,
             Decoder(keyed=keyed),
-            self.book,
+            self.registry,
             self.table,
             self._configure,
             journal,
@@ -95,7 +95,7 @@
             await feed.follower.catch_up()
 
     def knows(self, name: str) -> bool:
-        return self.book.get(ids.ServerId(name)) is not None
+        return self.registry.get(ids.ServerId(name)) is not None
 
 
 class Relay:
--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -253,7 +253,7 @@
     ) -> None:
         real = clock.SystemClock()
         journal = support.make_journal(real)
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.table = keymap.KeyTable(journal)
@@ -274,7 +274,7 @@
             support.BOUNDS,
             self.lead,
             lease_servers,
-            self.book,
+            self.registry,
             journal,
             metrics.Metrics(),
             real,
@@ -288,7 +288,7 @@
             TOPIC,
             self.follower,
             lease_manager,
-            self.book,
+            self.registry,
             self.table,
             self.loads,
             lambda: self.list_is_fresh,
--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -52,9 +52,9 @@
 
 def _is_staying(reader, name) -> bool:
     """Whether a server is expected to stay and gets new work."""
-    server = reader.book.get(ids.ServerId(name))
+    server = reader.registry.get(ids.ServerId(name))
     now_s = clock.SystemClock().monotonic_s()
-    return server is not None and reader.book.is_staying(server, now_s)
+    return server is not None and reader.registry.is_staying(server, now_s)
 
 
 async def test_an_invalid_entry_makes_its_server_unusable(
@@ -71,7 +71,7 @@
         assert _is_staying(each, "b")
         # Its entry was removed, but it is not known to have ended.
         assert each.knows("a")
-        assert not each.book.has_ended(ids.ServerId("a"))
+        assert not each.registry.has_ended(ids.ServerId("a"))
     _add(platform_log, "servers", "a", b"rapor")
     await reader.read()
     relay.send(receiver)
@@ -114,7 +114,7 @@
     _add(platform_log, "servers", "a", b"rapor 3000")
     await reader.read()
     relay.send(receiver)
-    server = receiver.book.get(ids.ServerId("a"))
+    server = receiver.registry.get(ids.ServerId("a"))
     assert server is not None
     assert server.cold_until_s > clock.SystemClock().monotonic_s() + 2.0
 
@@ -139,7 +139,7 @@
     _add(platform_log, "servers", "b", b"")
     await reader.read()
     receiver.state.apply_relayed(reader.state.changes_since(known))
-    server = receiver.book.get(ids.ServerId("b"))
+    server = receiver.registry.get(ids.ServerId("b"))
     assert server is not None
     since_s = server.leaving_since_s
     await reader.read()
@@ -249,7 +249,7 @@
     # From here on the second instance leads, and none reads the log.
     cluster_state_support.Relay(next_one).send(third)
     assert third.knows("b")
-    removed = third.book.get(ids.ServerId("a"))
+    removed = third.registry.get(ids.ServerId("a"))
     assert removed is None or removed.unlisted
     assert third.versions == [1, 2]
 
@@ -496,7 +496,7 @@
 
 
 def _evacuated(reader) -> set[str]:
-    return set(reader.book.evacuations.domains)
+    return set(reader.registry.evacuations.domains)
 
 
 async def test_an_evacuation_is_relayed_like_a_configuration(platform_log):
--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -37,7 +37,7 @@
         dispatcher = dispatch.Dispatcher(
             dispatch.DispatchSettings(),
             support.INSTANCE,
-            self.reader.book,
+            self.reader.registry,
             self.reader.table,
             NoBackends(),
             journal,
@@ -52,7 +52,7 @@
             self.lease_servers,
             peers.PeerClient(peers.PeerSettings(), journal, real),
             self.reader.state,
-            self.reader.book,
+            self.reader.registry,
             self.reader.table,
             dispatcher,
             journal,
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -36,7 +36,7 @@
     lease_servers = fakes.LeaseServers()
     bench = fakes.Bench(platform_log, lease_servers)
     for name in names:
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     return platform_log, lease_servers, bench
 
 
@@ -54,7 +54,7 @@
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
@@ -64,7 +64,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         leaving = attempts.Notice(is_leaving=True)
-        bench.book.notices.record(support.make_server("a"), leaving)
+        bench.registry.notices.record(support.make_server("a"), leaving)
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
@@ -76,7 +76,7 @@
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         bench.lead.majority_known_s = time.monotonic()
         bench.lead.known_to_all_s = float("inf")
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
         await anyio.sleep(0.15)
         assert lease_servers.holder(KEY) == "a"
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
@@ -119,7 +119,7 @@
     async with _running(first):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
     second = fakes.Bench(platform_log, lease_servers, "entry-2")
-    second.book.put(support.make_server("b"))
+    second.registry.put(support.make_server("b"))
     async with _running(second):
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
@@ -130,7 +130,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         bench.list_is_fresh = False
-        bench.book.remove(ids.ServerId("a"), log_was_unavailable=False)
+        bench.registry.remove(ids.ServerId("a"), log_was_unavailable=False)
         await anyio.sleep(0.4)
         assert lease_servers.holder(KEY) == "a"
 
@@ -148,11 +148,11 @@
     platform_log, lease_servers, first = _make("a", "b", "c")
     second = fakes.Bench(platform_log, lease_servers, "entry-2")
     for name in "abc":
-        second.book.put(support.make_server(name))
+        second.registry.put(support.make_server(name))
     async with _running(first, second):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         for bench in (first, second):
-            bench.book.put(support.make_server("a", leaving=True))
+            bench.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) in {"b", "c"})
         await anyio.sleep(0.3)
     assert not lease_servers.overlaps
@@ -163,7 +163,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         platform_log.lose_answer = True
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
@@ -186,7 +186,7 @@
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
     grants = [
         o for o in lease_servers.orders if o[0] == "grant" and o[2] <= KEY
@@ -233,7 +233,7 @@
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
 
         def is_written() -> bool:
             newest = keymap.decode(platform_log.records[fakes.TOPIC][-1].value)
@@ -253,9 +253,9 @@
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         second = fakes.Bench(platform_log, lease_servers, "entry-2")
         for name in "ab":
-            second.book.put(support.make_server(name))
+            second.registry.put(support.make_server(name))
         await second.follower.catch_up()
-        first.book.put(support.make_server("a", leaving=True))
+        first.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
         second.follower.next_offset = first.follower.next_offset
     seen = first.table.newest(fakes.SERVICE)
@@ -299,11 +299,11 @@
     lease_servers = fakes.LeaseServers()
     bench = fakes.Bench(platform_log, lease_servers)
     for name in "abc":
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         platform_log.hangs = True
-        bench.book.put(support.make_server("c", leaving=True))
+        bench.registry.put(support.make_server("c", leaving=True))
         deadline_s = time.monotonic() + 2.0
         while time.monotonic() < deadline_s:
             assert lease_servers.holder(KEY) == "a"
@@ -330,12 +330,12 @@
     platform_log, lease_servers, first = _make("a", "b")
     async with _running(first):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        first.book.put(support.make_server("a", leaving=True))
+        first.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
         moved = platform_log.records[fakes.TOPIC][-1]
     second = fakes.Bench(platform_log, lease_servers, "entry-2")
     for name in "ab":
-        second.book.put(support.make_server(name))
+        second.registry.put(support.make_server(name))
     platform_log.records[fakes.TOPIC].append(moved)
     await second.follower.catch_up()
     newest = second.table.newest(fakes.SERVICE)
@@ -357,7 +357,7 @@
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("b")
-        bench.book.put(support.make_server("a", leaving=True))
+        bench.registry.put(support.make_server("a", leaving=True))
         await fakes.until(lambda: bench.coordinator._lease_manager.is_lost("b"))
         lease_servers.silent.clear()
         await fakes.until(lambda: lease_servers.holder(KEY) == "b")
@@ -370,7 +370,7 @@
     long = dataclasses.replace(fakes.LEASES, lease_ms=600.0)
     bench = fakes.Bench(platform_log, lease_servers, lease_settings=long)
     for name in ("a", "b"):
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("a")
@@ -392,7 +392,7 @@
         lease_servers.silent.clear()
         await anyio.sleep(0.1)
         for name in ("b", "c"):
-            bench.book.put(support.make_server(name, leaving=True))
+            bench.registry.put(support.make_server(name, leaving=True))
         await fakes.until(lambda: lease_servers.holder(KEY) == "a")
     assert not lease_servers.overlaps
 
@@ -466,13 +466,13 @@
     platform_log, working = fakes.MemoryLog(), WorkingServers()
     bench = fakes.Bench(platform_log, working, lease_settings=LONG_LEASES)
     for name in names:
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     return platform_log, working, bench
 
 
 async def _evacuate(bench, working, name: str) -> str:
     """Makes a server leave; returns the key's owner after its release."""
-    bench.book.put(support.make_server(name, leaving=True))
+    bench.registry.put(support.make_server(name, leaving=True))
     await fakes.until(lambda: working.released(name))
     return bench.table.find(fakes.SERVICE, KEY).server_id
 
@@ -509,7 +509,9 @@
         await anyio.sleep(late_s + 0.8 - time.monotonic())
         third = await _evacuate(bench, working, second)
         working.replaced.add(third)
-        bench.book.end(ids.ServerId(third), "another server has its address")
+        bench.registry.end(
+            ids.ServerId(third), "another server has its address"
+        )
         await anyio.sleep(late_s + 1.6 - time.monotonic())
         assert not working.conflicting_grants
         working.end_request(second)
@@ -544,10 +546,10 @@
     outranking = OutrankingServers("b")
     bench = fakes.Bench(fakes.MemoryLog(), outranking)
     for name in "ab":
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: outranking.holder(KEY) == "a")
-        outranking.on_refusal = lambda: bench.book.put(
+        outranking.on_refusal = lambda: bench.registry.put(
             support.make_server("a", leaving=True)
         )
         await fakes.until(lambda: outranking.holder(KEY) == "b")
@@ -568,14 +570,14 @@
     platform_log, working = SlowLog(), WorkingServers()
     bench = fakes.Bench(platform_log, working, lease_settings=LONG_LEASES)
     for name in "abcd":
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: working.holder(KEY) == "a")
         working.begin_request("a")
         second = await _evacuate(bench, working, "a")
         platform_log.slow_s = 0.2
         other = next(n for n in "bcd" if n != second)
-        bench.book.put(support.make_server(other, leaving=True))
+        bench.registry.put(support.make_server(other, leaving=True))
         await anyio.sleep(0.1)
         working.end_request("a")
         await fakes.until(lambda: working.holder(KEY) == second)
@@ -620,7 +622,7 @@
     hung = HungServers()
     bench = fakes.Bench(fakes.MemoryLog(), hung)
     for name in "ab":
-        bench.book.put(support.make_server(name))
+        bench.registry.put(support.make_server(name))
     async with _running(bench):
         await fakes.until(lambda: hung.holder(KEY) == "a")
         hung.silent.add("a")
--- a/libs/bridgecross-entry/tests/test_crash_watch.py
+++ b/libs/bridgecross-entry/tests/test_crash_watch.py
@@ -42,11 +42,11 @@
         self.clock = real
         journal = support.make_journal(real)
         self.backends = Backends(*refusing)
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.server = support.make_server("a")
-        self.book.put(self.server)
+        self.registry.put(self.server)
         self.ledger = poison_requests.PoisonLedger(
             poison_requests.PoisonSettings(), real
         )
@@ -54,7 +54,7 @@
             crash_watch.CrashWatchSettings(),
             self.ledger,
             self.backends,
-            self.book,
+            self.registry,
             journal,
             metrics.Metrics(),
             real,
@@ -119,14 +119,14 @@
 async def test_a_server_that_restarts_at_once_has_ended():
     scene = Scene(False, False)
     assert await _play(scene, BROKEN) == 0
-    scene.book.end(ids.ServerId("a"), "another has its address")
+    scene.registry.end(ids.ServerId("a"), "another has its address")
     assert scene.counted == 1
 
 
 async def test_a_newer_run_at_the_address_shows_the_end():
     scene = Scene(False, False)
     assert await _play(scene, BROKEN) == 0
-    scene.book.put(support.make_server("b"))
+    scene.registry.put(support.make_server("b"))
     assert scene.counted == 1
 
 
@@ -159,7 +159,7 @@
 async def test_a_server_that_asked_for_backoff_is_not_probed():
     """A probe opens a connection, which uses some of its capacity."""
     scene = Scene(True, True)
-    scene.book.notices.record(scene.server, attempts.Notice(backoff_s=3.0))
+    scene.registry.notices.record(scene.server, attempts.Notice(backoff_s=3.0))
     assert await _play(scene, BROKEN) == 0
     assert scene.backends.probes_count == 0
 
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -75,16 +75,16 @@
         real = clock.SystemClock()
         journal = support.make_journal(real)
         bounds = bounds or support.BOUNDS
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), bounds, journal, real
         )
         for name in ("a", "b"):
-            self.book.put(support.make_server(name))
+            self.registry.put(support.make_server(name))
         self.table = keymap.KeyTable(journal)
         self.dispatcher = dispatch.Dispatcher(
             dispatch.DispatchSettings(),
             dataclasses.replace(support.INSTANCE, bounds=bounds),
-            self.book,
+            self.registry,
             self.table,
             backends,
             journal,
@@ -173,9 +173,9 @@
     backends = Backends(REFUSED, OK)
     scene = Scene(backends)
     await scene.ask()
-    refusing = scene.book.get(ids.ServerId(backends.sent[0]))
+    refusing = scene.registry.get(ids.ServerId(backends.sent[0]))
     assert refusing.paused_until_s > clock.SystemClock().monotonic_s() + 0.5
-    assert not scene.book.has_ended(ids.ServerId(backends.sent[0]))
+    assert not scene.registry.has_ended(ids.ServerId(backends.sent[0]))
 
 
 async def test_nothing_is_told_to_be_missing_before_there_is_a_configuration():
@@ -341,8 +341,8 @@
 async def test_no_request_goes_to_a_server_that_left_for_long():
     backends = Backends(OK, OK)
     scene = Scene(backends)
-    scene.book.put(support.make_server("a", leaving=True))
-    left = scene.book.get(ids.ServerId("a"))
+    scene.registry.put(support.make_server("a", leaving=True))
+    left = scene.registry.get(ids.ServerId("a"))
     left.leaving_since_s -= 3
     for _ in range(2):
         await scene.ask()
@@ -360,7 +360,7 @@
     backends = Backends(BROKEN, OK)
     scene = Scene(backends, keyed=True)
     scene.put_map(1, _owned_by("a"))
-    owner = scene.book.get(ids.ServerId("a"))
+    owner = scene.registry.get(ids.ServerId("a"))
     assert owner is not None
     owner.latency_s = latency_s
     outcome = await scene.ask()
@@ -401,9 +401,9 @@
         self, backends: Backends, *areas: str, keyed: bool = False
     ) -> None:
         super().__init__(backends, keyed=keyed)
-        self.book.put(support.make_server("south-2", domain="hall-2"))
-        self.book.put(support.make_server("south-3", domain="hall-3"))
-        self.book.put(support.make_server("nowhere", domain="hall-9"))
+        self.registry.put(support.make_server("south-2", domain="hall-2"))
+        self.registry.put(support.make_server("south-3", domain="hall-3"))
+        self.registry.put(support.make_server("nowhere", domain="hall-9"))
         self.dispatcher._selector._instance = dataclasses.replace(
             support.INSTANCE, area_of_domain=HOMES
         )
@@ -458,7 +458,7 @@
 async def test_nothing_is_sent_to_a_domain_that_was_evacuated_meanwhile():
     backends = Backends(OK)
     scene = Scene(backends)
-    scene.book.evacuate(
+    scene.registry.evacuate(
         [evacuations.EvacuationChange("hall-1", is_evacuated=True)],
         last_known_s=None,
     )
--- a/libs/bridgecross-entry/tests/test_dispatch_notices.py
+++ b/libs/bridgecross-entry/tests/test_dispatch_notices.py
@@ -28,7 +28,7 @@
 
 def _tell(scene, notice, told):
     for each in told:
-        scene.book.notices.record(each, notice)
+        scene.registry.notices.record(each, notice)
 
 
 async def test_others_are_taken_before_one_that_says_it_leaves():
@@ -79,7 +79,7 @@
     backends = scenes.Backends(None, scenes.OK)
     scene = scenes.Scene(backends, keyed=True, bounds=SOON)
     scene.put_map(1, scenes._owned_by("a"))
-    queue = scene.book.get(A.server_id).queue
+    queue = scene.registry.get(A.server_id).queue
     queue.settings = dataclasses.replace(queue.settings, slots=1)
     waited = []
     async with anyio.create_task_group() as tasks:
@@ -121,7 +121,7 @@
     backends = Full(**rests_s)
     scene = scenes.Scene(backends, keyed=keyed)
     scene.put_map(1, scenes._owned_by("a"))
-    backends.hear = scene.book.notices.record
+    backends.hear = scene.registry.notices.record
     return backends, scene
 
 
@@ -171,7 +171,7 @@
     backends = scenes.Backends(None, scenes.OK)
     scene = scenes.Scene(backends, keyed=True)
     scene.put_map(1, scenes._owned_by("a"))
-    queue = scene.book.get(A.server_id).queue
+    queue = scene.registry.get(A.server_id).queue
     queue.settings = dataclasses.replace(queue.settings, slots=1)
     waited = []
     async with anyio.create_task_group() as tasks:
@@ -261,7 +261,7 @@
     backends = scenes.Backends(*[scenes.SHED] * 4)
     scene = scenes.Scene(backends, keyed=keyed)
     scene.put_map(1, scenes._owned_by("a"))
-    scene.book.end(B.server_id, "gone")
+    scene.registry.end(B.server_id, "gone")
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.retry_after_ms > 0
--- a/libs/bridgecross-entry/tests/test_evacuations.py
+++ b/libs/bridgecross-entry/tests/test_evacuations.py
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture
-def book(clock):
+def registry(clock):
     made = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
@@ -27,25 +27,25 @@
     return made
 
 
-def _usable(book, clock):
+def _usable(registry, clock):
     """Returns the servers usable by requests without a key, and with one."""
     free = {
         s.listed.name
-        for s in book.of_service("rapor")
-        if book.may_use_without_key(s, clock.now_s)
+        for s in registry.of_service("rapor")
+        if registry.may_use_without_key(s, clock.now_s)
     }
     keyed = {
         s.listed.name
-        for s in book.of_service("rapor")
-        if book.may_use(s, clock.now_s)
+        for s in registry.of_service("rapor")
+        if registry.may_use(s, clock.now_s)
     }
     return free, keyed
 
 
-def test_requests_without_a_key_avoid_the_domain_at_once(book, clock):
-    book.evacuate([START], clock.now_s)
-    assert _usable(book, clock) == ({"far"}, {"a", "far"})
-    assert book.domains_of("rapor") == {"hall-2"}
+def test_requests_without_a_key_avoid_the_domain_at_once(registry, clock):
+    registry.evacuate([START], clock.now_s)
+    assert _usable(registry, clock) == ({"far"}, {"a", "far"})
+    assert registry.domains_of("rapor") == {"hall-2"}
 
 
 @pytest.mark.parametrize(
@@ -57,37 +57,39 @@
         pytest.param(None, KEYS_FOR_S, id="just started"),
     ],
 )
-def test_keys_are_served_while_they_move(book, clock, known_s_ago, left_s):
+def test_keys_are_served_while_they_move(registry, clock, known_s_ago, left_s):
     known_s = None if known_s_ago is None else clock.now_s - known_s_ago
-    book.evacuate([START], known_s)
+    registry.evacuate([START], known_s)
     clock.now_s += left_s - 0.01
-    assert ("a" in _usable(book, clock)[1]) == (left_s > 0)
+    assert ("a" in _usable(registry, clock)[1]) == (left_s > 0)
     clock.now_s += 0.02
-    assert _usable(book, clock) == ({"far"}, {"far"})
+    assert _usable(registry, clock) == ({"far"}, {"far"})
 
 
-def test_repeating_an_evacuation_does_not_extend_it(book, clock):
-    book.evacuate([START], clock.now_s)
+def test_repeating_an_evacuation_does_not_extend_it(registry, clock):
+    registry.evacuate([START], clock.now_s)
     clock.now_s += KEYS_FOR_S - 0.1
-    book.evacuate([START], clock.now_s)
+    registry.evacuate([START], clock.now_s)
     clock.now_s += 0.2
-    assert _usable(book, clock)[1] == {"far"}
+    assert _usable(registry, clock)[1] == {"far"}
 
 
-def test_a_domain_is_used_again_after_the_evacuation(book, clock):
-    book.evacuate([START], clock.now_s)
+def test_a_domain_is_used_again_after_the_evacuation(registry, clock):
+    registry.evacuate([START], clock.now_s)
     clock.now_s += 6.0
-    book.evacuate([END], clock.now_s)
-    assert _usable(book, clock) == ({"a", "far"}, {"a", "far"})
+    registry.evacuate([END], clock.now_s)
+    assert _usable(registry, clock) == ({"a", "far"}, {"a", "far"})
 
 
-def test_an_unknown_domain_has_no_effect(book, clock):
-    book.evacuate([START._replace(domain="nowhere")], clock.now_s)
-    assert _usable(book, clock) == ({"a", "far"}, {"a", "far"})
+def test_an_unknown_domain_has_no_effect(registry, clock):
+    registry.evacuate([START._replace(domain="nowhere")], clock.now_s)
+    assert _usable(registry, clock) == ({"a", "far"}, {"a", "far"})
 
 
-def test_a_server_that_joins_an_evacuated_domain_gets_no_requests(book, clock):
-    book.evacuate([START], clock.now_s)
+def test_a_server_that_joins_an_evacuated_domain_gets_no_requests(
+    registry, clock
+):
+    registry.evacuate([START], clock.now_s)
     clock.now_s += 6.0
-    book.put(support.make_server("new"))
-    assert _usable(book, clock) == ({"far"}, {"far"})
+    registry.put(support.make_server("new"))
+    assert _usable(registry, clock) == ({"far"}, {"far"})
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -72,20 +72,20 @@
 def _leave(scene):
     for name in NAMES:
         server = support.make_server(name)
-        scene.book.notices.record(server, attempts.Notice(is_leaving=True))
-    time.sleep(scene.book.bounds.drain_ms / 1_000)
+        scene.registry.notices.record(server, attempts.Notice(is_leaving=True))
+    time.sleep(scene.registry.bounds.drain_ms / 1_000)
 
 
 def _rest(scene):
     for name in NAMES:
         server = support.make_server(name)
-        scene.book.notices.record(server, attempts.Notice(backoff_s=3.0))
+        scene.registry.notices.record(server, attempts.Notice(backoff_s=3.0))
 
 
 def _evacuate(scene):
     word = evacuations.EvacuationChange("hall-1", is_evacuated=True)
     long_ago_s = time.clock_gettime(time.CLOCK_BOOTTIME) - 60.0
-    scene.book.evacuate([word], long_ago_s)
+    scene.registry.evacuate([word], long_ago_s)
 
 
 def _refuse_harmful(scene):
@@ -94,7 +94,7 @@
 
 def _cool(scene):
     for name in NAMES:
-        server = scene.book.get(ids.ServerId(name))
+        server = scene.registry.get(ids.ServerId(name))
         server.mark_cold(server.joined_s + 60.0)
 
 
@@ -137,7 +137,7 @@
         warmup_ms=3_000,
         warmup_rate_per_s=5.0,
     )
-    scene.book.configure({RAPOR: warming})
+    scene.registry.configure({RAPOR: warming})
     if "permit" in way:
         scene.dispatcher._permits = notices.Permits("a")
     if "health" in way:
@@ -197,7 +197,7 @@
     assert isinstance(outcome, outcomes.NotRun)
     assert not scene.dispatcher.watch._sent_requests
     for name in NAMES:
-        server = scene.book.get(ids.ServerId(name))
+        server = scene.registry.get(ids.ServerId(name))
         assert server.failure_ratio == 0.0
         assert server.paused_until_s == 0.0
 
@@ -205,7 +205,7 @@
 async def test_another_server_is_taken_for_what_was_withheld():
     wire, scene = _make("first try", support.BOUNDS)
     rest = attempts.Notice(backoff_s=3.0)
-    wire.happen = lambda: scene.book.notices.record(
+    wire.happen = lambda: scene.registry.notices.record(
         support.make_server("a"), rest
     )
     assert await scene.ask() is scenes.OK
--- a/libs/bridgecross-entry/tests/test_leases.py
+++ b/libs/bridgecross-entry/tests/test_leases.py
@@ -37,17 +37,17 @@
 
 def _make_lease_manager(lease_servers, lead, time_source):
     journal = support.make_journal(time_source)
-    book = servers.ServerRegistry(
+    registry = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, journal, time_source
     )
-    book.put(support.make_server("a"))
+    registry.put(support.make_server("a"))
     return leases.LeaseManager(
         fakes.SERVICE,
         fakes.LEASES,
         support.BOUNDS,
         lead,
         lease_servers,
-        book,
+        registry,
         journal,
         metrics.Metrics(),
         time_source,
@@ -193,7 +193,7 @@
     """It may be shutting down unannounced, or a link may reject connections."""
     await lease_manager.renew(A, RANGES, lambda _: True)
     lease_servers.ended.add(A)
-    lease_manager._book.put(support.make_server("a", leaving=leaving))
+    lease_manager._registry.put(support.make_server("a", leaving=leaving))
     begun_s = anyio.current_time()
     moving = keymap.KeyRange(0, 9, ids.ServerId("b"), 2, A)
     reclaimed = await lease_manager.reclaim(A, moving)
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -92,7 +92,7 @@
 
 
 @pytest.fixture
-def book(clock, lines):
+def registry(clock, lines):
     made = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, lines, clock
     )
@@ -100,41 +100,41 @@
     return made
 
 
-def _say_it_stays(book):
-    book.put(SERVER)
+def _say_it_stays(registry):
+    registry.put(SERVER)
 
 
-def _say_it_stays_anew(book):
-    book.put(dataclasses.replace(SERVER, slots=9))
+def _say_it_stays_anew(registry):
+    registry.put(dataclasses.replace(SERVER, slots=9))
 
 
-def _go_and_return(book):
-    book.remove(SERVER.server_id, log_was_unavailable=False)
-    book.put(SERVER)
+def _go_and_return(registry):
+    registry.remove(SERVER.server_id, log_was_unavailable=False)
+    registry.put(SERVER)
 
 
-def _lapse_and_return(book):
-    book.remove(SERVER.server_id, log_was_unavailable=True)
-    book.put(SERVER)
+def _lapse_and_return(registry):
+    registry.remove(SERVER.server_id, log_was_unavailable=True)
+    registry.put(SERVER)
 
 
-def _change_service(book):
-    book.put(dataclasses.replace(SERVER, service=ids.ServiceName("bulgu")))
-    book.put(SERVER)
+def _change_service(registry):
+    registry.put(dataclasses.replace(SERVER, service=ids.ServiceName("bulgu")))
+    registry.put(SERVER)
 
 
-def _say_it_again(book):
-    book.notices.record(SERVER, LEAVING)
+def _say_it_again(registry):
+    registry.notices.record(SERVER, LEAVING)
 
 
-def _be_heard_without_it(book):
-    book.notices.record(SERVER, attempts.Notice())
+def _be_heard_without_it(registry):
+    registry.notices.record(SERVER, attempts.Notice())
 
 
 @pytest.mark.parametrize(
     "happen",
     [
-        pytest.param(lambda book: None, id="nothing"),
+        pytest.param(lambda registry: None, id="nothing"),
         pytest.param(_say_it_stays, id="its entry says that it stays"),
         pytest.param(_say_it_stays_anew, id="a newer entry says so"),
         pytest.param(_go_and_return, id="it returns to the list"),
@@ -144,51 +144,51 @@
         pytest.param(_be_heard_without_it, id="an answer says nothing"),
     ],
 )
-def test_the_first_word_of_a_run_that_leaves_stands(book, clock, happen):
-    book.notices.record(SERVER, LEAVING)
+def test_the_first_word_of_a_run_that_leaves_stands(registry, clock, happen):
+    registry.notices.record(SERVER, LEAVING)
     clock.now_s += 0.9
-    happen(book)
-    server = book.get(SERVER.server_id)
-    assert not book.is_staying(server, clock.now_s)
-    assert book.may_use(server, clock.now_s)
+    happen(registry)
+    server = registry.get(SERVER.server_id)
+    assert not registry.is_staying(server, clock.now_s)
+    assert registry.may_use(server, clock.now_s)
     clock.now_s += DRAIN_S - 0.9 - 0.1
-    assert not book.may_use(server, clock.now_s)
-    assert not book.is_staying(server, clock.now_s)
+    assert not registry.may_use(server, clock.now_s)
+    assert not registry.is_staying(server, clock.now_s)
 
 
-def test_the_word_outlasts_that_its_server_is_forgotten(book, clock):
-    book.notices.record(SERVER, LEAVING)
-    book.remove(SERVER.server_id, log_was_unavailable=False)
+def test_the_word_outlasts_that_its_server_is_forgotten(registry, clock):
+    registry.notices.record(SERVER, LEAVING)
+    registry.remove(SERVER.server_id, log_was_unavailable=False)
     clock.now_s += 60
-    book.drop_stale()
-    assert book.get(SERVER.server_id) is None
-    book.put(SERVER)
-    server = book.get(SERVER.server_id)
-    assert not book.may_use(server, clock.now_s)
+    registry.drop_stale()
+    assert registry.get(SERVER.server_id) is None
+    registry.put(SERVER)
+    server = registry.get(SERVER.server_id)
+    assert not registry.may_use(server, clock.now_s)
 
 
-def test_what_the_list_says_first_counts_first(book, clock):
-    book.put(dataclasses.replace(SERVER, leaving=True))
+def test_what_the_list_says_first_counts_first(registry, clock):
+    registry.put(dataclasses.replace(SERVER, leaving=True))
     clock.now_s += 0.5
-    book.notices.record(SERVER, LEAVING)
-    server = book.get(SERVER.server_id)
-    list_use_s = DRAIN_S * book.settings.drain_use_ratio
-    assert not book.may_use(server, clock.now_s + list_use_s - 0.4)
+    registry.notices.record(SERVER, LEAVING)
+    server = registry.get(SERVER.server_id)
+    list_use_s = DRAIN_S * registry.settings.drain_use_ratio
+    assert not registry.may_use(server, clock.now_s + list_use_s - 0.4)
 
 
-def test_another_run_of_its_name_is_free_of_the_word(book, clock):
+def test_another_run_of_its_name_is_free_of_the_word(registry, clock):
     first = support.make_server("b", started_ms=1)
     following = support.make_server("b", started_ms=2)
-    book.put(first)
-    book.notices.record(first, LEAVING)
+    registry.put(first)
+    registry.notices.record(first, LEAVING)
     clock.now_s += 60
-    book.put(following)
-    server = book.get(following.server_id)
-    assert book.is_staying(server, clock.now_s)
-    assert book.may_use(server, clock.now_s)
+    registry.put(following)
+    server = registry.get(following.server_id)
+    assert registry.is_staying(server, clock.now_s)
+    assert registry.may_use(server, clock.now_s)
 
 
-def test_whoever_waits_for_servers_to_change_is_woken(book):
-    count = book.changed.count
-    book.notices.record(SERVER, LEAVING)
-    assert book.changed.count == count + 1
+def test_whoever_waits_for_servers_to_change_is_woken(registry):
+    count = registry.changed.count
+    registry.notices.record(SERVER, LEAVING)
+    assert registry.changed.count == count + 1
--- a/libs/bridgecross-entry/tests/test_permit_client.py
+++ b/libs/bridgecross-entry/tests/test_permit_client.py
@@ -88,14 +88,14 @@
 ):
     real = clock.SystemClock()
     journal = support.make_journal(real)
-    book = servers.ServerRegistry(
+    registry = servers.ServerRegistry(
         servers.ServerSettings(), support.BOUNDS, journal, real
     )
     own = permit_issuer.PermitIssuer(
         permit_issuer.IssuerSettings(),
         servers.ServerSettings(),
         "hall-1",
-        book,
+        registry,
         journal,
         metrics.Metrics(),
         real,
@@ -188,7 +188,7 @@
     slots, instance_count, is_used
 ):
     real = clock.SystemClock()
-    book = servers.ServerRegistry(
+    registry = servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
         support.make_journal(real),
@@ -196,9 +196,9 @@
     )
     for name in ("a", "b"):
         listed = support.make_server(name)
-        book.put(dataclasses.replace(listed, slots=slots))
-    book.set_instances(instance_count)
-    client = _make(Issuers(), slot_share=book.slot_share)
+        registry.put(dataclasses.replace(listed, slots=slots))
+    registry.set_instances(instance_count)
+    client = _make(Issuers(), slot_share=registry.slot_share)
     async with anyio.create_task_group() as tasks:
         client.start(tasks)
     assert client.is_used(RAPOR) is is_used
--- a/libs/bridgecross-entry/tests/test_permit_issuer.py
+++ b/libs/bridgecross-entry/tests/test_permit_issuer.py
@@ -30,12 +30,12 @@
     def __init__(self) -> None:
         real = clock.SystemClock()
         journal = support.make_journal(real)
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
-        self.book.put(support.make_server("a"))
-        self.book.put(support.make_server("b"))
-        self.book.put(support.make_server("far", domain="hall-2"))
+        self.registry.put(support.make_server("a"))
+        self.registry.put(support.make_server("b"))
+        self.registry.put(support.make_server("far", domain="hall-2"))
         # Whether this issuer is certain to be the only one.
         self.is_sole_issuer = True
         self.issuer = permit_issuer.PermitIssuer(
@@ -47,7 +47,7 @@
             ),
             servers.ServerSettings(),
             "hall-1",
-            self.book,
+            self.registry,
             journal,
             metrics.Metrics(),
             real,
@@ -59,9 +59,9 @@
         service = model.Service(
             RAPOR, 130, False, 0, warmup_ms=3_000, warmup_rate_per_s=RATE_PER_S
         )
-        self.book.configure({RAPOR: service})
+        self.registry.configure({RAPOR: service})
         for name in names:
-            self.book.put(
+            self.registry.put(
                 dataclasses.replace(
                     support.make_server(name), warmup_left_ms=60_000
                 )
@@ -177,13 +177,13 @@
 
 async def test_another_issuer_is_to_be_asked_while_no_server_is_known(scene):
     for name in ("a", "b"):
-        scene.book.end(ids.ServerId(name), "test")
+        scene.registry.end(ids.ServerId(name), "test")
     reply = await scene.ask("x")
     assert reply.verdict is permits.Verdict.ELSEWHERE
 
 
 async def test_a_leaving_server_gets_requests_for_its_keys_only(scene):
-    scene.book.put(support.make_server("a", leaving=True))
+    scene.registry.put(support.make_server("a", leaving=True))
     own = await scene.ask("x", server="a")
     assert own.verdict is permits.Verdict.GRANTED
     others = {(await scene.ask(str(number))).server_id for number in range(4)}
@@ -199,7 +199,7 @@
 async def test_nobody_waits_for_a_server_that_has_ended(scene):
     await scene.fill()
     await scene.ask("x", server="a")
-    scene.book.end(A, "test")
+    scene.registry.end(A, "test")
     reply = await scene.ask("x", server="a")
     assert reply.verdict is permits.Verdict.UNCOUNTED
 
@@ -302,7 +302,7 @@
     waiting = await scene.ask("x", server=server)
     assert waiting.verdict is not permits.Verdict.REFUSED
     for name in ("a", "b"):
-        scene.book.end(ids.ServerId(name), "test")
+        scene.registry.end(ids.ServerId(name), "test")
     for number in range(SLOTS):
         scene.return_permit(f"a-{number}")
         scene.return_permit(f"any-{number}")
@@ -318,10 +318,10 @@
     """What waited for its earlier entry holds no slot of the new one."""
     await scene.fill()
     await scene.ask("x", server="a")
-    scene.book.end(A, "test")
+    scene.registry.end(A, "test")
     await scene.ask("y", server="b")
-    scene.book._ended.clear()
-    scene.book.put(support.make_server("a"))
+    scene.registry._ended.clear()
+    scene.registry.put(support.make_server("a"))
     await scene.ask("y", server="b")
     scene.return_permit("a-0")
     await anyio.sleep(0.01)
@@ -411,9 +411,9 @@
     scene.make_cold()
     await scene.ask("one", server="a")
     scene.return_permit("one", permits.Outcome.REFUSED)
-    known = scene.book.get(A)
+    known = scene.registry.get(A)
     assert known is not None
-    assert scene.book.is_cold(known)
+    assert scene.registry.is_cold(known)
 
 
 BACKOFF_S = 3.0
@@ -422,7 +422,9 @@
 def _request_backoff(scene, *names: str) -> None:
     for name in names:
         server = support.make_server(name)
-        scene.book.notices.record(server, attempts.Notice(backoff_s=BACKOFF_S))
+        scene.registry.notices.record(
+            server, attempts.Notice(backoff_s=BACKOFF_S)
+        )
 
 
 async def test_no_permit_is_granted_for_a_server_that_asked_for_backoff(scene):
--- a/libs/bridgecross-entry/tests/test_restarts.py
+++ b/libs/bridgecross-entry/tests/test_restarts.py
@@ -37,11 +37,11 @@
         journal = support.make_journal(real)
         self.log = fakes.MemoryLog()
         self.feed = feeds.Feed(TOPIC)
-        self.book = servers.ServerRegistry(
+        self.registry = servers.ServerRegistry(
             servers.ServerSettings(), support.BOUNDS, journal, real
         )
         self.list = server_list.ServerList(
-            self.feed, self._decode, self.book, journal, real
+            self.feed, self._decode, self.registry, journal, real
         )
         self.feed.follower = follower.Follower(
             follower.FollowSettings(TOPIC, 0, 0.01),
@@ -70,11 +70,11 @@
     def used(self) -> list[str]:
         """Returns the runs that get new requests."""
         now_s = clock.SystemClock().monotonic_s()
-        of_service = self.book.of_service(ids.ServiceName("rapor"))
+        of_service = self.registry.of_service(ids.ServiceName("rapor"))
         return sorted(
             str(each.listed.server_id)
             for each in of_service
-            if self.book.is_staying(each, now_s)
+            if self.registry.is_staying(each, now_s)
         )
 
 
@@ -138,15 +138,17 @@
     listing.write("a", 16)
     await listing.read()
     earlier = ids.ServerId("a@10")
-    listing.book.get(earlier).note_refused(clock.SystemClock().monotonic_s())
-    listing.book.end(earlier, "another server has its address")
+    listing.registry.get(earlier).note_refused(
+        clock.SystemClock().monotonic_s()
+    )
+    listing.registry.end(earlier, "another server has its address")
     assert listing.used() == []
     listing.write("a", 32)
     await listing.read()
     assert listing.used() == ["a@20"]
-    assert listing.book.get(ids.ServerId("a@20")).paused_until_s == 0
-    assert listing.book.has_ended(earlier)
-    assert listing.book.latest_run(earlier) == "a@20"
+    assert listing.registry.get(ids.ServerId("a@20")).paused_until_s == 0
+    assert listing.registry.has_ended(earlier)
+    assert listing.registry.latest_run(earlier) == "a@20"
 
 
 # Keys.
@@ -158,7 +160,7 @@
     lease_servers = fakes.LeaseServers()
     bench = fakes.Bench(platform_log, lease_servers)
     for name in names:
-        bench.book.put(support.make_server(name, started_ms=16))
+        bench.registry.put(support.make_server(name, started_ms=16))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(bench.follower.run)
         tasks.start_soon(bench.coordinator.run)
@@ -175,8 +177,8 @@
 
 def _apply(bench, listed) -> None:
     earlier = ids.ServerId(f"a@{listed.started_ms - 16:x}")
-    bench.book.end(earlier, "it has started again")
-    bench.book.put(listed)
+    bench.registry.end(earlier, "it has started again")
+    bench.registry.put(listed)
 
 
 def _token(lease_servers) -> int:
@@ -247,8 +249,8 @@
         lease_servers.restart("a")
         following = fakes.Bench(platform_log, lease_servers, "entry-2")
         # This instance has never seen the earlier run listed.
-        following.book.put(support.make_server("a", started_ms=32))
-        following.book.put(support.make_server("b", started_ms=16))
+        following.registry.put(support.make_server("a", started_ms=32))
+        following.registry.put(support.make_server("b", started_ms=16))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(following.follower.run)
             tasks.start_soon(following.coordinator.run)
--- a/libs/bridgecross-entry/tests/test_servers.py
+++ b/libs/bridgecross-entry/tests/test_servers.py
@@ -13,7 +13,7 @@
 
 
 @pytest.fixture
-def book(clock):
+def registry(clock):
     return servers.ServerRegistry(
         servers.ServerSettings(),
         support.BOUNDS,
@@ -22,62 +22,64 @@
     )
 
 
-def _server(book: servers.ServerRegistry) -> servers.Server:
-    server = book.get(NAME)
+def _server(registry: servers.ServerRegistry) -> servers.Server:
+    server = registry.get(NAME)
     assert server is not None
     return server
 
 
-def test_a_leaving_server_is_used_only_within_the_bound(book, clock):
-    book.put(support.make_server("a"))
-    book.put(support.make_server("a", leaving=True))
-    server = _server(book)
-    assert book.may_use(server, clock.now_s)
-    assert not book.is_staying(server, clock.now_s)
-    assert not book.may_use(server, clock.now_s + 1.0)
+def test_a_leaving_server_is_used_only_within_the_bound(registry, clock):
+    registry.put(support.make_server("a"))
+    registry.put(support.make_server("a", leaving=True))
+    server = _server(registry)
+    assert registry.may_use(server, clock.now_s)
+    assert not registry.is_staying(server, clock.now_s)
+    assert not registry.may_use(server, clock.now_s + 1.0)
 
 
-def test_a_leaving_server_in_an_old_list_is_used_for_less_time(book, clock):
-    book.put(support.make_server("a"))
-    book.previous_list_as_of_s = clock.now_s - 1.4
-    book.put(support.make_server("a", leaving=True))
-    server = _server(book)
-    assert book.may_use(server, clock.now_s + 0.05)
-    assert not book.may_use(server, clock.now_s + 0.15)
+def test_a_leaving_server_in_an_old_list_is_used_for_less_time(registry, clock):
+    registry.put(support.make_server("a"))
+    registry.previous_list_as_of_s = clock.now_s - 1.4
+    registry.put(support.make_server("a", leaving=True))
+    server = _server(registry)
+    assert registry.may_use(server, clock.now_s + 0.05)
+    assert not registry.may_use(server, clock.now_s + 0.15)
 
 
 def test_an_entry_that_expired_during_an_outage_gets_time_to_return(
-    book, clock
+    registry, clock
 ):
-    book.put(support.make_server("a"))
-    book.remove(NAME, log_was_unavailable=True)
-    assert book.is_staying(_server(book), clock.now_s + 1.9)
-    assert not book.is_staying(_server(book), clock.now_s + 2.1)
-    book.put(support.make_server("a"))
-    assert book.is_staying(_server(book), clock.now_s + 60)
+    registry.put(support.make_server("a"))
+    registry.remove(NAME, log_was_unavailable=True)
+    assert registry.is_staying(_server(registry), clock.now_s + 1.9)
+    assert not registry.is_staying(_server(registry), clock.now_s + 2.1)
+    registry.put(support.make_server("a"))
+    assert registry.is_staying(_server(registry), clock.now_s + 60)
 
 
-def test_an_ended_run_never_returns(book):
-    book.put(support.make_server("a"))
-    book.end(NAME, "refused")
-    book.put(support.make_server("a"))
-    assert book.get(NAME) is None
-    assert book.has_ended(NAME)
+def test_an_ended_run_never_returns(registry):
+    registry.put(support.make_server("a"))
+    registry.end(NAME, "refused")
+    registry.put(support.make_server("a"))
+    assert registry.get(NAME) is None
+    assert registry.has_ended(NAME)
 
 
-def test_a_server_off_the_list_is_forgotten_but_has_not_ended(book, clock):
-    book.put(support.make_server("a"))
-    book.remove(NAME, log_was_unavailable=False)
+def test_a_server_off_the_list_is_forgotten_but_has_not_ended(registry, clock):
+    registry.put(support.make_server("a"))
+    registry.remove(NAME, log_was_unavailable=False)
     clock.now_s += 60
-    book.drop_stale()
-    assert book.get(NAME) is None
-    assert not book.has_ended(NAME)
+    registry.drop_stale()
+    assert registry.get(NAME) is None
+    assert not registry.has_ended(NAME)
 
 
-def test_room_shrinks_when_requests_are_rejected_and_grows_back(book, clock):
-    book.put(support.make_server("a"))
-    book.set_instances(4)
-    server = _server(book)
+def test_room_shrinks_when_requests_are_rejected_and_grows_back(
+    registry, clock
+):
+    registry.put(support.make_server("a"))
+    registry.set_instances(4)
+    server = _server(registry)
     most = server.queue.settings.slots
     for _ in range(10):
         clock.now_s += 1
@@ -88,9 +90,9 @@
     assert server.queue.settings.slots == most
 
 
-def test_a_server_without_room_for_one_is_paused_for_longer(book, clock):
-    book.put(support.make_server("a"))
-    server = _server(book)
+def test_a_server_without_room_for_one_is_paused_for_longer(registry, clock):
+    registry.put(support.make_server("a"))
+    server = _server(registry)
     pauses = []
     for _ in range(12):
         clock.now_s += 10
@@ -106,10 +108,10 @@
     assert server.paused_until_s - clock.now_s < 0.2
 
 
-def test_failures_raise_the_cost_of_a_server(book, clock):
+def test_failures_raise_the_cost_of_a_server(registry, clock):
     for name in ("a", "b"):
-        book.put(support.make_server(name))
-    failing, healthy = _server(book), book.get(ids.ServerId("b"))
+        registry.put(support.make_server(name))
+    failing, healthy = _server(registry), registry.get(ids.ServerId("b"))
     for _ in range(10):
         failing.note_answer(0.01, failed=True)
         healthy.note_answer(0.1, failed=False)
@@ -117,13 +119,13 @@
     assert cost[0] > 2 * cost[1]
 
 
-def test_a_server_that_refuses_is_paused_but_has_not_ended(book, clock):
-    book.put(support.make_server("a"))
-    server = _server(book)
+def test_a_server_that_refuses_is_paused_but_has_not_ended(registry, clock):
+    registry.put(support.make_server("a"))
+    server = _server(registry)
     server.note_refused(clock.now_s)
     assert server.paused_until_s >= clock.now_s + 1.0
-    assert not book.has_ended(NAME)
-    assert book.get(NAME) is server
+    assert not registry.has_ended(NAME)
+    assert registry.get(NAME) is server
 
 
 @pytest.mark.parametrize(
@@ -135,12 +137,12 @@
     ],
 )
 def test_late_requests_get_a_part_of_the_even_share(
-    book, instances, late_slots
+    registry, instances, late_slots
 ):
     """Also if servers are listed before the number of instances is known."""
-    book.put(support.make_server("a"))
-    server = _server(book)
-    book.set_instances(instances)
+    registry.put(support.make_server("a"))
+    server = _server(registry)
+    registry.set_instances(instances)
     assert server.queue.settings.late_slots == pytest.approx(late_slots)
-    room = book.room_count(server.listed.service)
+    room = registry.room_count(server.listed.service)
     assert room.late == pytest.approx(late_slots)
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -49,7 +49,7 @@
     holds_no_more = leases.LeaseManager._cannot_hold
 
     def trust(self, prior, holder, key_range):
-        if self._book.has_ended(prior):
+        if self._registry.has_ended(prior):
             return True
         return holds_no_more(self, prior, holder, key_range)
 
@@ -102,7 +102,7 @@
 async def _release_hastily(
     self, prior, key_range, *, may_have_been_asked=False
 ):
-    server = self._book.get(self._book.latest_run(prior))
+    server = self._registry.get(self._registry.latest_run(prior))
     if server is not None:
         with anyio.move_on_after(0.02):
             await self._client.release(
--- a/tests/load/scene.py
+++ b/tests/load/scene.py
@@ -351,13 +351,13 @@
             self._clock,
         )
         instance = houses.make_settings(number)
-        book = servers.ServerRegistry(
+        registry = servers.ServerRegistry(
             self.load.judging, instance.bounds, journal, self._clock
         )
         for listed_servers in self._services.values():
             for listed in listed_servers:
-                book.put(listed)
-        book.set_instances(self.load.instance_count)
+                registry.put(listed)
+        registry.set_instances(self.load.instance_count)
         table = keymap.KeyTable(journal)
         for kind in self.load.servers:
             if kind.keyed:
@@ -365,13 +365,13 @@
         dispatcher = dispatch.Dispatcher(
             self.load.trying,
             instance,
-            book,
+            registry,
             table,
             _Client(self),
             journal,
             metrics.Metrics(),
             self._clock,
-            self._make_permits(instance, book, journal),
+            self._make_permits(instance, registry, journal),
         )
         dispatcher.instance_count = self.load.instance_count
         dispatcher.configure(self._make_configuration())
@@ -380,7 +380,7 @@
     def _make_permits(
         self,
         instance: model.InstanceSettings,
-        book: servers.ServerRegistry,
+        registry: servers.ServerRegistry,
         journal: journals.Journal,
     ) -> permit_client.PermitClient | None:
         if self.load.with_permits is False:
@@ -389,7 +389,7 @@
             permit_issuer.IssuerSettings(),
             permit_issuer.SERVER_SETTINGS,
             instance.failure_domain,
-            book,
+            registry,
             journal,
             metrics.Metrics(),
             self._clock,
@@ -403,11 +403,11 @@
             instance,
             issuer,
             lambda domain: self._domains.get(domain, ()),
-            book.domains_of,
+            registry.domains_of,
             journal,
             self._clock,
             lambda address: _PeerLink(self, address),
-            book.slot_share,
+            registry.slot_share,
         )
         self._clients.append(client)
         return client
