--- a/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/crash_watch.py
@@ -257,7 +257,7 @@
         """Processes an answer of a server, which may be about to end."""
         server_id = sent_request.server.server_id
         now_s = self._clock.monotonic_s()
-        for answer in self._errors.take_confirmed(
+        for answer in self._errors.pop_confirmed(
             server_id, sent_request.sent_s
         ):
             self._record_answer(answer)
@@ -266,7 +266,7 @@
                 poison_requests.Answer(sent_request.subject, now_s)
             )
         else:
-            self._errors.note_error(server_id, sent_request.subject, now_s)
+            self._errors.record_error(server_id, sent_request.subject, now_s)
 
     def _record_answer(self, answer: poison_requests.Answer) -> None:
         """Records that a server answered a request and kept running."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/permit_issuer.py
@@ -370,7 +370,7 @@
             return self._refuse_unavailable(request, pool)
         server = chosen
         if is_shared:
-            server.queue.take(queue_tier)
+            server.queue.force_acquire(queue_tier)
         covers_cold = may_be_cold and self._is_cold(server)
         if covers_cold:
             self._warmups.record_grant(server.listed.server_id)
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/authority.py
@@ -58,7 +58,7 @@
         """Returns whether the log itself was read recently enough."""
         return self._is_fresh(self._log_view.fresh_at_s)
 
-    def may_front(self, witnesses: Iterable[ids.InstanceId]) -> bool:
+    def may_act_as_front(self, witnesses: Iterable[ids.InstanceId]) -> bool:
         """Returns whether this instance may act as a front now.
 
         Args:
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/lease_manager.py
@@ -185,7 +185,10 @@
             index: The slice.
             token: The token that ``find_grant_token`` returned.
         """
-        if not self._may_front() or self.find_grant_token(index) != token:
+        if (
+            not self._may_act_as_front()
+            or self.find_grant_token(index) != token
+        ):
             return False
         if self._granted.get(index) != token:
             return False
@@ -311,7 +314,7 @@
         """Asks earlier owners, then makes one lease exchange."""
         if self._is_front():
             self._prior.start_asking(tasks)
-        if not self._may_front():
+        if not self._may_act_as_front():
             await anyio.sleep(self.settings.renew_interval_ms / 1_000)
             return
         grants = self._list_grantable()
@@ -385,7 +388,7 @@
             and state.server == self.server
             and self._prior.is_free(index)
             and not self._ports.authority.has_log()
-            and self._may_front()
+            and self._may_act_as_front()
             and self._is_front()
             and self._cannot_act(index)
         )
@@ -401,9 +404,9 @@
             until_s = max(until_s, self._busy_until_s.get(index, 0.0))
         return self._ports.clock.monotonic_s() >= until_s
 
-    def _may_front(self) -> bool:
+    def _may_act_as_front(self) -> bool:
         """Returns whether this instance has the authority to act as front."""
-        return self._ports.authority.may_front(self.front.witnesses)
+        return self._ports.authority.may_act_as_front(self.front.witnesses)
 
     def _list_grantable(self) -> list[leases.SliceGrant]:
         """Returns the slices to grant: owned, and released by earlier owners.
--- a/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
+++ b/libs/bridgecross-ownership/src/bridgecross_ownership/planner.py
@@ -128,7 +128,7 @@
         settings: The balance target and the budget of moves for balance alone.
     """
     balance = _Balance(view)
-    moves = _restore(view, balance)
+    moves = _assign_orphans(view, balance)
     restored = len(moves)
     if balance.usable:
         moves |= _rebalance(view, settings, balance, moves)
@@ -141,7 +141,7 @@
     )
 
 
-def _restore(
+def _assign_orphans(
     view: PlannerView, balance: _Balance
 ) -> dict[ids.SliceIndex, ids.ServerId]:
     """Assigns slices without a usable owner to the least loaded servers."""
--- a/libs/bridgecross-ownership/tests/test_fronts.py
+++ b/libs/bridgecross-ownership/tests/test_fronts.py
@@ -202,7 +202,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_front_with_other_witnesses_goes_on():
+async def test_a_front_with_other_witnesses_continues():
     service = _Service()
     async with anyio.create_task_group() as tasks:
         await _run_until_cut_off(service, tasks)
--- a/libs/bridgecross-ownership/tests/test_planner.py
+++ b/libs/bridgecross-ownership/tests/test_planner.py
@@ -88,7 +88,7 @@
     return planner.plan(view, settings)
 
 
-def test_a_balanced_service_is_left_alone():
+def test_a_balanced_service_is_not_changed():
     owners = ["s1", "s2"] * 8
     assert _plan(owners, {"s1": USABLE, "s2": USABLE}).is_empty
 
@@ -144,13 +144,13 @@
     assert next(iter(plan.moves)) in {0, 1}
 
 
-def test_a_single_hot_slice_is_not_passed_around():
+def test_a_single_hot_slice_is_not_moved():
     owners = ["s1"] * 8 + ["s2"] * 8
     plan = _plan(owners, {"s1": USABLE, "s2": USABLE}, loads={0: 100_000.0})
     assert 0 not in plan.moves
 
 
-def test_a_few_requests_are_no_reason_to_move():
+def test_a_few_requests_cause_no_move():
     owners = ["s1", "s2"] * 20
     plan = _plan(owners, {"s1": USABLE, "s2": USABLE}, loads={0: 0.4, 2: 0.4})
     assert plan.is_empty
--- a/libs/bridgecross-request/src/bridgecross_request/error_answers.py
+++ b/libs/bridgecross-request/src/bridgecross_request/error_answers.py
@@ -23,7 +23,7 @@
         # When each request was answered with an error, by server and request.
         self._errors_s: dict[str, dict[poison_requests.Fingerprint, float]] = {}
 
-    def note_error(
+    def record_error(
         self,
         server: str,
         subject: poison_requests.Fingerprint,
@@ -38,7 +38,7 @@
         if len(self._errors_s) > _SERVERS_MAX_COUNT:
             del self._errors_s[next(iter(self._errors_s))]
 
-    def take_confirmed(
+    def pop_confirmed(
         self, server: str, sent_s: float
     ) -> list[poison_requests.Answer]:
         """Returns and removes the errors that a later answer confirms.
--- a/libs/bridgecross-request/src/bridgecross_request/intents.py
+++ b/libs/bridgecross-request/src/bridgecross_request/intents.py
@@ -125,7 +125,7 @@
         return appenders.Applied(offset)
 
 
-async def win(
+async def win_right(
     appender: appenders.Appender, intent: Intent
 ) -> appenders.AppendOutcome:
     """Appends an intent, to win the right to run a request.
--- a/libs/bridgecross-request/src/bridgecross_request/queueing.py
+++ b/libs/bridgecross-request/src/bridgecross_request/queueing.py
@@ -17,7 +17,7 @@
 
 from bridgecross_core import clock as clocks
 
-_SMOOTHING = 0.1
+_SMOOTHING_FACTOR = 0.1
 
 LATE_WAIT_RATIO = 0.75
 """How long a late request may wait, as a share of its remaining time.
@@ -98,7 +98,7 @@
     def add(self, value_s: float) -> None:
         """Adds an observation; the first few have a higher weight."""
         self._count += 1
-        weight = max(_SMOOTHING, 1.0 / self._count)
+        weight = max(_SMOOTHING_FACTOR, 1.0 / self._count)
         self.value_s += weight * (value_s - self.value_s)
 
 
@@ -161,7 +161,7 @@
         now_s = self._clock.monotonic_s()
         waiter = _Waiter(tier, deadlines, anyio.Event())
         if self._has_room(late=self._is_late(waiter, now_s)):
-            self.take(tier)
+            self.force_acquire(tier)
             return Granted()
         wait_s = self.estimate_wait_s(tier.priority)
         if self.waiting[tier.name] >= tier.limit:
@@ -178,10 +178,10 @@
         is_late = self._is_late(waiter, self._clock.monotonic_s())
         if not self._has_room(late=is_late):
             return False
-        self.take(tier)
+        self.force_acquire(tier)
         return True
 
-    def take(self, tier: QueueTier) -> None:
+    def force_acquire(self, tier: QueueTier) -> None:
         """Takes a slot without a check, even if that exceeds the slots.
 
         The holder must release it.
@@ -298,7 +298,7 @@
                 return
             self._waiters.remove(waiter)
             self.waiting[waiter.tier.name] -= 1
-            self.take(waiter.tier)
+            self.force_acquire(waiter.tier)
             waiter.granted.set()
 
     def _may_grant(self, waiter: _Waiter) -> bool:
--- a/libs/bridgecross-request/src/bridgecross_request/runner.py
+++ b/libs/bridgecross-request/src/bridgecross_request/runner.py
@@ -221,7 +221,7 @@
         intent = intents.Intent(
             request.service, request.caller, request.idempotency_key
         )
-        right = await intents.win(self._ports.intents, intent)
+        right = await intents.win_right(self._ports.intents, intent)
         if not isinstance(right, appenders.Applied):
             return _describe_lost_intent(right)
         outcome = await self._send(attempt)
@@ -316,12 +316,12 @@
         after it, because a server that is ending may answer with errors.
         """
         now_s = self._ports.clock.monotonic_s()
-        for answer in self._errors.take_confirmed(server, sent_s):
+        for answer in self._errors.pop_confirmed(server, sent_s):
             self._record_answer(answer)
         if status < _FIRST_ERROR_STATUS:
             self._record_answer(poison_requests.Answer(subject, now_s))
         else:
-            self._errors.note_error(server, subject, now_s)
+            self._errors.record_error(server, subject, now_s)
 
     def _record_answer(self, answer: poison_requests.Answer) -> None:
         """Records that a server ran a request and kept running."""
--- a/libs/bridgecross-request/tests/test_backends.py
+++ b/libs/bridgecross-request/tests/test_backends.py
@@ -52,7 +52,7 @@
     assert limit == backends.Limit(2.0, WALL_S + 2.0)
 
 
-def test_the_header_tells_the_limit_however_late_it_is_written():
+def test_the_deadline_header_does_not_depend_on_when_it_is_written():
     limit = backends.Limit(2.0, time.time() - 5.0)
     fence = backends.Fence(3, 5, 7)
     headers = dict(backends.build_headers("server:1", _request(), fence, limit))
--- a/libs/bridgecross-request/tests/test_intents.py
+++ b/libs/bridgecross-request/tests/test_intents.py
@@ -75,7 +75,7 @@
     assert isinstance(verdicts.by_id["r2"], appender.Void)
 
 
-def test_a_damaged_record_gives_nobody_a_right():
+def test_a_damaged_record_grants_no_right():
     registry, verdicts = _make_registry()
     registry.apply(service.StoredRecord(ids.Offset(0), b"\x00torn"))
     _apply(registry, 1, intents.INTENT_KIND, b"\x00torn")
--- a/libs/bridgecross-request/tests/test_routing.py
+++ b/libs/bridgecross-request/tests/test_routing.py
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize(
     ("script", "method", "expected", "runs"), CASES.values(), ids=CASES.keys()
 )
-async def test_what_the_caller_is_told(script, method, expected, runs):
+async def test_the_outcome_that_the_caller_gets(script, method, expected, runs):
     runner = _ScriptedRunner(script)
     assert await _route(runner).handle(_request(method)) == expected
     assert runner.runs == runs
--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -84,7 +84,7 @@
 
 def _always_authority(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        authority.Authority, "may_front", lambda self, witnesses: True
+        authority.Authority, "may_act_as_front", lambda self, witnesses: True
     )
 
 
