--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -11,7 +11,7 @@
 
 from benchmarks import rows
 from bridgecross_core import clock as clocks
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import network as networks
 from bridgecross_emulator import virtual
 from bridgecross_entry import poison_broadcast
@@ -61,23 +61,23 @@
 
     async def main() -> list[rows.Row]:
         async with anyio.create_task_group() as tasks:
-            settings = houses.HouseSettings(instance_count=count)
-            house = houses.House(settings, environment, tasks)
-            await house.start(6.0)
-            found = await _end_server(house, count)
-            house.stop()
+            settings = clusters.ClusterSettings(instance_count=count)
+            cluster = clusters.Cluster(settings, environment, tasks)
+            await cluster.start(6.0)
+            found = await _end_server(cluster, count)
+            cluster.stop()
         return found
 
     return virtual.run(environment, main)
 
 
-async def _end_server(house: houses.House, count: int) -> list[rows.Row]:
+async def _end_server(cluster: clusters.Cluster, count: int) -> list[rows.Row]:
     """Lets a server end under a request, as one instance sees it."""
     subject = poison_requests.compute_fingerprint("h", b"GET", b"/deadly", b"")
-    network = house.network
+    network = cluster.network
     found = []
     for number, name in enumerate(("first", "second", "third"), 1):
-        seen_by = house.others()[number].parts
+        seen_by = cluster.others()[number].parts
         network.carried_count.clear()
         network.carried_bytes.clear()
         now_s = seen_by.clock.monotonic_s()
@@ -85,27 +85,27 @@
             subject, f"i-{number}", now_s - 0.05, now_s
         )
         seen_by.watch.ledger.record_end(end)
-        begun_s = house.now_s
+        begun_s = cluster.now_s
         seen_by.watch.on_ends([end])
-        known_s = await _wait_until_known(house, subject, number)
+        known_s = await _wait_until_known(cluster, subject, number)
         size = f"{name} end, {count} instances"
         found += _make_rows(size, network, known_s - begun_s)
     return found
 
 
 async def _wait_until_known(
-    house: houses.House, subject: poison_requests.Fingerprint, number: int
+    cluster: clusters.Cluster, subject: poison_requests.Fingerprint, number: int
 ) -> float:
     """Waits until words are over; returns when all knew of an end."""
     known_s = math.nan
-    until_s = house.now_s + 0.25
-    while house.now_s < until_s:
+    until_s = cluster.now_s + 0.25
+    while cluster.now_s < until_s:
         await anyio.sleep(0.0005)
-        ledgers = [each.parts.watch.ledger for each in house.instances]
+        ledgers = [each.parts.watch.ledger for each in cluster.instances]
         if math.isnan(known_s) and all(
             len(ledger.ends_of(subject)) >= number for ledger in ledgers
         ):
-            known_s = house.now_s
+            known_s = cluster.now_s
     return known_s
 
 
--- a/benchmarks/poison_ways.py
+++ b/benchmarks/poison_ways.py
@@ -93,10 +93,10 @@
 
 async def _act(scene: crash_scene.Scene) -> None:
     """Lets callers come for a while."""
-    fleet = scene.house.fleet
+    fleet = scene.cluster.fleet
     fleet.deadly.add(_TARGET)
     fleet.harmless_bodies.add(_HARMLESS_BODY)
-    scene.house.network.carried_bytes.clear()
+    scene.cluster.network.carried_bytes.clear()
     async with anyio.create_task_group() as callers:
         for body in (b"", _HARMLESS_BODY):
             callers.start_soon(
@@ -115,7 +115,7 @@
         late_from_s = ends_s[_ENDS_MAX_COUNT - 1] + _KNOWN_WITHIN_S
     late = [
         run
-        for run in scene.house.fleet.runs
+        for run in scene.cluster.fleet.runs
         if run.is_deadly and run.at_s > late_from_s
     ]
     refused = [
@@ -125,8 +125,8 @@
         and getattr(told.outcome, "reason", "") == _REFUSED
     ]
     path = poison_broadcast.PATH.decode()
-    told_kb = scene.house.network.carried_bytes[path] / 1e3
-    ledgers = [each.parts.watch.ledger for each in scene.house.instances]
+    told_kb = scene.cluster.network.carried_bytes[path] / 1e3
+    ledgers = [each.parts.watch.ledger for each in scene.cluster.instances]
     suspects = max(len(each.known_subjects()) for each in ledgers)
     figures = (
         ("servers ended", len(ends_s), ""),
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/__init__.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/__init__.py
@@ -8,7 +8,7 @@
 * ``network``: links between instances.
 * ``servers``: servers that own keys, with their runs, leases and tokens.
 * ``instances``: one emulated instance.
-* ``house``: all of them together.
+* ``cluster``: all of them together.
 * ``callers``: who sends requests to them, some of which end servers.
 * ``faults``: what may happen to them, drawn by seed.
 * ``moving``: what may happen while keys move and are asked for.
@@ -22,8 +22,8 @@
 __all__ = [
     "callers",
     "checks",
+    "cluster",
     "faults",
-    "house",
     "instances",
     "log_model",
     "moving",
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a house, and requests of theirs that end servers."""
+"""Callers of a cluster, and requests of theirs that end servers."""
 
 import itertools
 import random
@@ -6,7 +6,7 @@
 import anyio
 
 from bridgecross_core import outcomes
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_entry import attempts
 
@@ -20,11 +20,13 @@
     return f"10.9.{number // 250}.{number % 250 + 1}"
 
 
-def list_reachable(house: houses.House) -> list[instances.EmulatedInstance]:
+def list_reachable(
+    cluster: clusters.Cluster,
+) -> list[instances.EmulatedInstance]:
     """Returns the instances that callers are sent to."""
     return [
         each
-        for each in house.instances
+        for each in cluster.instances
         if not each.host.stands_still and each.configuration_version
     ]
 
@@ -57,22 +59,22 @@
 class DeadlyCallers:
     """Callers who ask for what ends servers; each of them comes twice."""
 
-    def __init__(self, house: houses.House, seed: int) -> None:
+    def __init__(self, cluster: clusters.Cluster, seed: int) -> None:
         """Asks for nothing yet."""
-        self._house = house
+        self._cluster = cluster
         self._rng = random.Random(seed)
 
     async def run(self) -> None:
         """Asks for each such request again and again, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for number in itertools.count():
-                for target in sorted(self._house.fleet.deadly):
+                for target in sorted(self._cluster.fleet.deadly):
                     tasks.start_soon(self._ask, target, number)
                 await anyio.sleep(_GAP_S)
 
     async def _ask(self, target: bytes, number: int) -> None:
         """Sends one request to an instance that answers."""
-        reachable = list_reachable(self._house)
+        reachable = list_reachable(self._cluster)
         if not reachable:
             return
         instance = self._rng.choice(reachable)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -1,11 +1,11 @@
-"""What must hold in a house, whatever happens to it."""
+"""What must hold in a cluster, whatever happens to it."""
 
 from typing import NamedTuple
 
 import anyio
 
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import faults
-from bridgecross_emulator import house as houses
 from bridgecross_emulator import instances
 from bridgecross_entry import keymap
 
@@ -46,14 +46,14 @@
     async def run(self) -> None:
         """Looks again and again, until cancelled."""
         while True:
-            for instance in self._scene.house.instances:
+            for instance in self._scene.cluster.instances:
                 if not instance.host.stands_still:
                     self.look(instance)
             await anyio.sleep(_LOOK_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
         """Compares what one instance uses with what was published."""
-        now_s = self._scene.house.now_s
+        now_s = self._scene.cluster.now_s
         used = instance.configuration_version or 0
         name = instance.settings.name
         highest = self._highest.get(instance, 0)
@@ -64,7 +64,7 @@
         if self._scene.disturbances.calm_s(name) < IN_TOUCH_AFTER_S:
             return
         due_s = now_s - IN_FORCE_WITHIN_S - _LOOK_S
-        published = self._scene.house.published
+        published = self._scene.cluster.published
         due = [p.version for p in published if p.acknowledged_s <= due_s]
         if due and used < due[-1]:
             detail = f"{name} uses version {used} instead of {due[-1]}"
@@ -72,7 +72,7 @@
 
     def _note(self, promise: str, detail: str) -> None:
         """Keeps a violation once."""
-        at_s = round(self._scene.house.now_s, 3)
+        at_s = round(self._scene.cluster.now_s, 3)
         if not any(v.detail == detail for v in self.violations):
             self.violations.append(Violation(promise, at_s, detail))
 
@@ -88,7 +88,7 @@
     async def run(self) -> None:
         """Looks again and again, until cancelled."""
         while True:
-            for instance in self._scene.house.instances:
+            for instance in self._scene.cluster.instances:
                 name = instance.settings.name
                 calm_s = self._scene.disturbances.calm_s(name)
                 stands = instance.host.stands_still
@@ -98,9 +98,9 @@
 
     def look(self, instance: instances.EmulatedInstance) -> None:
         """Looks whether an instance in touch may still use such a server."""
-        house = self._scene.house
-        for domain, taken_s in house.evacuated_s.items():
-            if house.now_s < taken_s + EMPTY_WITHIN_S + _LOOK_S:
+        cluster = self._scene.cluster
+        for domain, taken_s in cluster.evacuated_s.items():
+            if cluster.now_s < taken_s + EMPTY_WITHIN_S + _LOOK_S:
                 continue
             used = [
                 s.listed.name
@@ -113,7 +113,7 @@
             if used and not any(domain in v.detail for v in self.violations):
                 detail = f"{instance.settings.name} uses {used} of {domain}"
                 violation = Violation(
-                    "an evacuated domain is empty", house.now_s, detail
+                    "an evacuated domain is empty", cluster.now_s, detail
                 )
                 self.violations.append(violation)
 
@@ -122,20 +122,20 @@
 """Servers that may end under one request before none gets it any more."""
 
 
-def check_deadly(house: houses.House, calm_s: float) -> list[Violation]:
+def check_deadly(cluster: clusters.Cluster, calm_s: float) -> list[Violation]:
     """Returns requests under which servers went on to end.
 
     While instances are lost or cut off, some may not know what others saw.
 
     Args:
-        house: The house.
+        cluster: The cluster.
         calm_s: Since when nothing has been wrong but those requests.
     """
     found = []
-    for target in sorted(house.fleet.deadly):
+    for target in sorted(cluster.fleet.deadly):
         ends = [
             end
-            for end in house.fleet.ends
+            for end in cluster.fleet.ends
             if end.target == target and end.at_s > calm_s
         ]
         if len(ends) > DEADLY_ENDS_MAX_COUNT:
@@ -147,7 +147,7 @@
     return found
 
 
-def check_owners(house: houses.House) -> list[Violation]:
+def check_owners(cluster: clusters.Cluster) -> list[Violation]:
     """Returns where two servers held a key at the same time."""
     return [
         Violation(
@@ -156,17 +156,17 @@
             f"{overlap.server} takes key {overlap.first_key}, "
             f"which {overlap.other} holds",
         )
-        for overlap in house.fleet.overlaps
+        for overlap in cluster.fleet.overlaps
     ]
 
 
-def check_handovers(house: houses.House) -> list[Violation]:
+def check_handovers(cluster: clusters.Cluster) -> list[Violation]:
     """Returns keys that were given on while their last holder worked on them.
 
     That is, before the lease was over under which it did so.
     """
     found: dict[str, Violation] = {}
-    for each in house.fleet.premature:
+    for each in cluster.fleet.premature:
         detail = (
             f"{each.server} takes key {each.key}, on which {each.other} works"
         )
@@ -180,21 +180,23 @@
 maps are waited for in the log for 5 s, where nobody tells of them."""
 
 
-def find_ends(house: houses.House) -> dict[str, int]:
+def find_ends(cluster: clusters.Cluster) -> dict[str, int]:
     """Returns where each topic ends at this moment."""
-    offsets = house.instances[0].parts.cluster_state.offsets()
-    return {each.topic: house.log.end(each.topic) for each in offsets}
+    offsets = cluster.instances[0].parts.cluster_state.offsets()
+    return {each.topic: cluster.log.end(each.topic) for each in offsets}
 
 
-def check_topics(house: houses.House, ends: dict[str, int]) -> list[Violation]:
+def check_topics(
+    cluster: clusters.Cluster, ends: dict[str, int]
+) -> list[Violation]:
     """Returns topics that an instance has stopped to follow.
 
     Args:
-        house: The house.
+        cluster: The cluster.
         ends: Where the topics ended a while ago.
     """
     found = []
-    for instance in house.instances:
+    for instance in cluster.instances:
         for each in instance.parts.cluster_state.offsets():
             end = ends[each.topic]
             if (each.next_offset or 0) < end:
@@ -202,29 +204,33 @@
                     f"{instance.settings.name} knows {each.topic} up to "
                     f"{each.next_offset} of {end}"
                 )
-                found.append(Violation("a topic goes on", house.now_s, detail))
+                found.append(
+                    Violation("a topic goes on", cluster.now_s, detail)
+                )
     return found
 
 
-def check_served(house: houses.House) -> list[Violation]:
+def check_served(cluster: clusters.Cluster) -> list[Violation]:
     """Returns keys that no server holds, or not the one that instances ask."""
     found = []
-    for instance in house.instances:
+    for instance in cluster.instances:
         key_map = instance.parts.table.newest(instances.SERVICE)
         for key_range in key_map.ranges if key_map else ():
-            detail = _find_fault(house, key_range)
+            detail = _find_fault(cluster, key_range)
             if detail:
                 detail = f"{instance.settings.name}: {detail}"
-                found.append(Violation("keys are served", house.now_s, detail))
+                found.append(
+                    Violation("keys are served", cluster.now_s, detail)
+                )
         if key_map is None:
             detail = f"{instance.settings.name} knows no key map"
-            found.append(Violation("keys are served", house.now_s, detail))
+            found.append(Violation("keys are served", cluster.now_s, detail))
     return found
 
 
-def _find_fault(house: houses.House, key_range: keymap.KeyRange) -> str:
+def _find_fault(cluster: clusters.Cluster, key_range: keymap.KeyRange) -> str:
     """Returns why a range is not served by its owner; empty if it is."""
-    holders = house.fleet.holders(key_range.first_key)
+    holders = cluster.fleet.holders(key_range.first_key)
     names = [f"{h.name}@{h.started_ms:x}" for h in holders]
     if names == [key_range.owner]:
         return ""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/house.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/cluster.py
@@ -1,4 +1,4 @@
-"""A house of emulated instances around one log, and what came of it."""
+"""A cluster of emulated instances, servers and links around one log."""
 
 import asyncio
 from collections.abc import Callable
@@ -66,8 +66,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HouseSettings:
-    """What a house consists of."""
+class ClusterSettings:
+    """What a cluster consists of."""
 
     instance_count: int = 5
     # Servers of the service divided by key, and of the other one.
@@ -75,7 +75,7 @@
     free_server_count: int = 0
     # Failure domains among which the servers are spread.
     server_domain_count: int = 1
-    # How servers warm up that start while the house runs; None if they need
+    # How servers warm up that start while the cluster runs; None if they need
     # not.
     warmup: instances.Warmup | None = None
     # Whether the platform tells the first lives of the instances that the
@@ -100,16 +100,16 @@
     acknowledged_s: float
 
 
-class House:
+class Cluster:
     """Instances, their log and the links between them."""
 
     def __init__(
         self,
-        settings: HouseSettings,
+        settings: ClusterSettings,
         environment: simpy.Environment,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        """Builds the house; nothing runs yet.
+        """Builds the cluster; nothing runs yet.
 
         Args:
             settings: What it consists of.
@@ -188,7 +188,7 @@
         await anyio.sleep(settle_s)
 
     def stop(self) -> None:
-        """Ends everything that runs in the house's task group.
+        """Ends everything that runs in the cluster's task group.
 
         Tasks of hosts that stand still could not be cancelled.
         """
@@ -231,7 +231,7 @@
     def run_beside(
         self, work: Callable[..., Coroutine[Any, Any, None]], *args: object
     ) -> None:
-        """Runs something until it ends, or the house stops."""
+        """Runs something until it ends, or the cluster stops."""
         self._tasks.start_soon(work, *args)
 
     @property
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -1,4 +1,4 @@
-"""What may happen to a house, as events that can be drawn, kept and replayed.
+"""What may happen to a cluster, as events that can be drawn, kept and replayed.
 
 An event is a kind, a target by its number, a moment and a length. Kinds begin
 and end something; whoever disturbs an instance or the log says so, since some
@@ -13,7 +13,7 @@
 
 import anyio
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers
 from bridgecross_entry import cluster_state
@@ -48,9 +48,9 @@
 class Disturbances:
     """Since when instances and the log have been left in peace."""
 
-    def __init__(self, house: houses.House) -> None:
+    def __init__(self, cluster: clusters.Cluster) -> None:
         """Nothing has happened."""
-        self._house = house
+        self._cluster = cluster
         # When the last disturbance ended; infinite while one lasts.
         self._until_s: dict[str, float] = {}
         self._lasting: dict[str, int] = {}
@@ -64,35 +64,35 @@
         """Takes it that one ends."""
         self._lasting[name] -= 1
         if not self._lasting[name]:
-            self._until_s[name] = self._house.now_s
+            self._until_s[name] = self._cluster.now_s
 
     def calm_s(self, name: str) -> float:
         """Returns for how long an instance and the log have had peace."""
         until_s = max(self._until_s.get(each, -math.inf) for each in (name, ""))
-        return self._house.now_s - until_s
+        return self._cluster.now_s - until_s
 
 
 class Scene(NamedTuple):
-    """A house, and what has happened to it."""
+    """A cluster, and what has happened to it."""
 
-    house: houses.House
+    cluster: clusters.Cluster
     disturbances: Disturbances
 
     def instance(self, target: int) -> instances.EmulatedInstance:
         """Returns an instance by its number; 0 is whoever leads."""
-        present = self.house.instances
-        if target == 0 and any(x.event == "leads" for x in self.house.lines):
-            return self.house.leader
+        present = self.cluster.instances
+        if target == 0 and any(x.event == "leads" for x in self.cluster.lines):
+            return self.cluster.leader
         return present[target % len(present)]
 
     def domain(self, target: int) -> str:
         """Returns a failure domain of servers by its number."""
-        present = {s.domain for s in self.house.fleet.servers.values()}
+        present = {s.domain for s in self.cluster.fleet.servers.values()}
         return sorted(present)[target % len(present)]
 
     def server(self, target: int) -> servers.EmulatedServer:
         """Returns a server by its number."""
-        present = list(self.house.fleet.servers.values())
+        present = list(self.cluster.fleet.servers.values())
         return present[target % len(present)]
 
 
@@ -132,21 +132,21 @@
     if instance.is_dead:
         return lambda: None
     instance.kill()
-    return lambda: scene.house.restart(instance)
+    return lambda: scene.cluster.restart(instance)
 
 
 def _freeze(scene: Scene, target: int) -> End:
     instance = scene.instance(target)
-    scene.house.freeze(instance)
-    return lambda: scene.house.thaw(instance)
+    scene.cluster.freeze(instance)
+    return lambda: scene.cluster.thaw(instance)
 
 
 def _separate(scene: Scene, target: int, *, speaks: bool, hears: bool) -> End:
     """Cuts an instance off from the others, in one direction or in both."""
-    network = scene.house.network
+    network = scene.cluster.network
     own = scene.instance(target).settings.peer_address
     pairs = []
-    for other in scene.house.instances:
+    for other in scene.cluster.instances:
         address = other.settings.peer_address
         if address != own:
             pairs += [] if speaks else [(own, address)]
@@ -174,33 +174,33 @@
 
 
 def _take_log_away(scene: Scene, target: int) -> End:
-    scene.house.log.is_away = True
+    scene.cluster.log.is_away = True
 
     def end() -> None:
-        scene.house.log.is_away = False
+        scene.cluster.log.is_away = False
 
     return end
 
 
 def _take_topic_away(scene: Scene, target: int) -> End:
     topic = _TOPICS[target % len(_TOPICS)]
-    scene.house.log.away_topics.add(topic)
-    return lambda: scene.house.log.away_topics.discard(topic)
+    scene.cluster.log.away_topics.add(topic)
+    return lambda: scene.cluster.log.away_topics.discard(topic)
 
 
 def _silence(scene: Scene, target: int) -> End:
-    scene.house.silence()
+    scene.cluster.silence()
     return lambda: None
 
 
 def _forget(scene: Scene, target: int) -> End:
     for topic in _TOPICS:
-        scene.house.log.forget(topic)
+        scene.cluster.log.forget(topic)
     return lambda: None
 
 
 def _change(scene: Scene, target: int) -> End:
-    scene.house.publish()
+    scene.cluster.publish()
     return lambda: None
 
 
@@ -208,7 +208,7 @@
     value = _FOREIGN[target % len(_FOREIGN)]
     name = f"i-{target}" if target % 2 else "somebody"
     record = logs.KeyedRecord(name, value)
-    scene.house.log.add(servers.SERVER_TOPIC, record)
+    scene.cluster.log.add(servers.SERVER_TOPIC, record)
     return lambda: None
 
 
@@ -232,9 +232,9 @@
 
 
 def _cut_server(scene: Scene, target: int) -> End:
-    network = scene.house.network
+    network = scene.cluster.network
     server = scene.server(target).address
-    pairs = [(i.settings.peer_address, server) for i in scene.house.instances]
+    pairs = [(i.settings.peer_address, server) for i in scene.cluster.instances]
     for pair in pairs:
         network.cut(*pair)
 
@@ -269,13 +269,13 @@
 def _evacuate(scene: Scene, target: int) -> End:
     """The operator empties a failure domain of servers."""
     domain = scene.domain(target)
-    scene.house.evacuate(domain)
-    return lambda: scene.house.take_back(domain)
+    scene.cluster.evacuate(domain)
+    return lambda: scene.cluster.take_back(domain)
 
 
 def _ask_deadly(scene: Scene, target: int) -> End:
     """From now on callers ask for a request that ends servers."""
-    scene.house.fleet.deadly.add(f"/{instances.SERVICE}/{target}".encode())
+    scene.cluster.fleet.deadly.add(f"/{instances.SERVICE}/{target}".encode())
     return lambda: None
 
 
@@ -327,8 +327,8 @@
 
 _PLANNED_SHARE = 0.5
 _PLANNED_FOR_S = (1.0, 12.0)
-"""Half of the houses see one of their failure domains evacuated, for less time
-than it takes up to long after it is empty."""
+"""Half of the simulations evacuate a failure domain. The durations range
+from less time than the evacuation takes to long after the domain is empty."""
 
 
 def draw_planned(seed: int, length_s: float) -> tuple[Event, ...]:
@@ -342,8 +342,8 @@
 
 
 _DEADLY_SHARE = 0.5
-"""Half of the houses are asked for requests that end servers, early enough for
-three to have ended before all is calm."""
+"""Half of the simulations contain poison requests. They start early enough that
+three servers crash before the last fault ends."""
 
 
 def draw_deadly(seed: int, length_s: float) -> tuple[Event, ...]:
@@ -387,10 +387,10 @@
     scene: Scene, events: tuple[Event, ...], kinds: Mapping[str, Kind] = KINDS
 ) -> None:
     """Lets events happen, counted from now; returns after the last end."""
-    begun_s = scene.house.now_s
+    begun_s = scene.cluster.now_s
 
     async def happen(event: Event) -> None:
-        await anyio.sleep(begun_s + event.at_s - scene.house.now_s)
+        await anyio.sleep(begun_s + event.at_s - scene.cluster.now_s)
         kind = kinds[event.kind]
         disturbed = ""
         if kind.disturbs_target:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
@@ -1,4 +1,4 @@
-"""What may happen to a house while its keys move, and who asks for them.
+"""What may happen to a cluster while its keys move, and who asks for them.
 
 These events are drawn apart from those of ``faults``, some of which come beside
 them: callers all the while, ranges that run hot, servers that join, and what
@@ -40,7 +40,7 @@
 
 def _ask(scene: faults.Scene, target: int) -> faults.End:
     asked = traffic.Traffic(
-        scene.house, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
+        scene.cluster, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
     )
     asked.start()
     return asked.stop
@@ -49,14 +49,14 @@
 def _heat(scene: faults.Scene, target: int) -> faults.End:
     first_key = target * _HOT_STEP % keymap.LAST_KEY
     last_key = first_key + _HOT_KEYS - 1
-    asked = traffic.Traffic(scene.house, first_key, last_key, _HOT_RATE_PER_S)
+    asked = traffic.Traffic(scene.cluster, first_key, last_key, _HOT_RATE_PER_S)
     asked.start()
     return asked.stop
 
 
 def _join_server(scene: faults.Scene, target: int) -> faults.End:
     """Another server starts, and stays."""
-    fleet = scene.house.fleet
+    fleet = scene.cluster.fleet
     number = len(fleet.servers)
     address = model.Address(f"10.2.1.{number}", 8_609)
     fleet.add(f"j-{number}", instances.SERVICE, address, scene.domain(target))
@@ -87,11 +87,11 @@
 
 def _kill_after_append(scene: faults.Scene, target: int) -> faults.End:
     """Whoever appends the next key map is killed before it is answered."""
-    log = scene.house.log
+    log = scene.cluster.log
     killed: list[instances.EmulatedInstance] = []
 
     def kill() -> None:
-        leader = scene.house.leader
+        leader = scene.cluster.leader
         if not leader.is_dead:
             leader.kill()
             killed.append(leader)
@@ -106,7 +106,7 @@
     def end() -> None:
         log.on_appended = lambda _: None
         for instance in killed:
-            scene.house.restart(instance)
+            scene.cluster.restart(instance)
 
     return end
 
@@ -135,9 +135,9 @@
 
 def _silence_server(scene: faults.Scene, target: int) -> faults.End:
     """Orders reach a server, and requests; its answers reach nobody."""
-    network = scene.house.network
+    network = scene.cluster.network
     server = scene.server(target).address
-    pairs = [(server, i.settings.peer_address) for i in scene.house.instances]
+    pairs = [(server, i.settings.peer_address) for i in scene.cluster.instances]
     for pair in pairs:
         network.cut(*pair)
 
@@ -152,7 +152,7 @@
     scene: faults.Scene, target: int
 ) -> tuple[model.Address, model.Address]:
     """Returns where an instance and a server are, by the number of a pair."""
-    count = len(scene.house.instances)
+    count = len(scene.cluster.instances)
     instance = scene.instance(target % count)
     server = scene.server(target // count)
     return instance.settings.peer_address, server.address
@@ -169,14 +169,14 @@
     Orders then overtake one another, those about the same range too.
     """
     own = scene.instance(target).settings.peer_address
-    present = scene.house.fleet.servers
+    present = scene.cluster.fleet.servers
     return _lose_between(scene, [(own, address) for address in present])
 
 
 def _lose_between(
     scene: faults.Scene, pairs: list[tuple[model.Address, model.Address]]
 ) -> faults.End:
-    network = scene.house.network
+    network = scene.cluster.network
     both = [*pairs, *((receiver, sender) for sender, receiver in pairs)]
     for pair in both:
         network.lose(*pair, _LOST_RATIO)
@@ -190,7 +190,7 @@
 
 def _cut_way(scene: faults.Scene, target: int) -> faults.End:
     """A server hears nothing of one instance."""
-    network = scene.house.network
+    network = scene.cluster.network
     pair = _find_pair(scene, target)
     network.cut(*pair)
     return lambda: network.mend(*pair)
@@ -198,7 +198,7 @@
 
 def _cut_answers(scene: faults.Scene, target: int) -> faults.End:
     """One instance hears nothing of a server."""
-    network = scene.house.network
+    network = scene.cluster.network
     sender, receiver = _find_pair(scene, target)
     network.cut(receiver, sender)
     return lambda: network.mend(receiver, sender)
@@ -206,14 +206,14 @@
 
 def _part(scene: faults.Scene, target: int) -> faults.End:
     """An instance and a domain of servers see nobody else, nor the log."""
-    network = scene.house.network
+    network = scene.cluster.network
     inside = scene.instance(target)
     own = inside.settings.peer_address
     domain = scene.domain(target)
     near = [own]
-    far = [i.settings.peer_address for i in scene.house.instances]
+    far = [i.settings.peer_address for i in scene.cluster.instances]
     far.remove(own)
-    for server in scene.house.fleet.servers.values():
+    for server in scene.cluster.fleet.servers.values():
         (near if server.domain == domain else far).append(server.address)
     pairs = [*itertools.product(near, far), *itertools.product(far, near)]
     for pair in pairs:
@@ -230,7 +230,7 @@
 
 def _mistake_server(scene: faults.Scene, target: int) -> faults.End:
     """One instance is told that another server has a server's address."""
-    mistaken = scene.house.fleet.mistaken
+    mistaken = scene.cluster.fleet.mistaken
     pair = _find_pair(scene, target)
     mistaken.add(pair)
     return lambda: mistaken.discard(pair)
@@ -240,7 +240,7 @@
     """An instance is taken off the list, as one that was away for long."""
     address = scene.instance(target).settings.peer_address
     gone = logs.KeyedRecord(str(address), b"")
-    scene.house.log.add(cluster_state.INSTANCE_TOPIC, gone)
+    scene.cluster.log.add(cluster_state.INSTANCE_TOPIC, gone)
     return lambda: None
 
 
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
@@ -1,4 +1,4 @@
-"""Plays houses with random events; finds the fewest that break a promise."""
+"""Plays clusters with random events; finds the fewest that break a promise."""
 
 from collections.abc import Callable
 import json
@@ -12,8 +12,8 @@
 
 from bridgecross_emulator import callers
 from bridgecross_emulator import checks
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import faults
-from bridgecross_emulator import house as houses
 from bridgecross_emulator import instances
 from bridgecross_emulator import moving
 from bridgecross_emulator import virtual
@@ -29,7 +29,7 @@
 
 
 class Played(NamedTuple):
-    """What came of one house."""
+    """What came of one cluster."""
 
     violations: tuple[checks.Violation, ...]
     lines: tuple[instances.Line, ...]
@@ -37,16 +37,16 @@
 
 def play(
     events: tuple[faults.Event, ...],
-    settings: houses.HouseSettings | None = None,
+    settings: clusters.ClusterSettings | None = None,
 ) -> Played:
-    """Plays one house in virtual time.
+    """Plays one cluster in virtual time.
 
     Args:
-        events: What happens, counted from when the house has settled.
-        settings: The house; five instances and four servers, if left out.
+        events: What happens, counted from when the cluster has settled.
+        settings: The cluster; five instances and four servers, if left out.
     """
     environment = simpy.Environment()
-    chosen = settings or houses.HouseSettings(
+    chosen = settings or clusters.ClusterSettings(
         server_count=4, server_domain_count=2
     )
 
@@ -54,42 +54,42 @@
 
     async def main() -> Played:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(chosen, environment, tasks)
-            found = await _watch(house, events, tasks)
+            cluster = clusters.Cluster(chosen, environment, tasks)
+            found = await _watch(cluster, events, tasks)
             # Tasks are cancelled in no order that a seed could tell.
-            played = Played(tuple(found), tuple(house.lines))
-            house.stop()
+            played = Played(tuple(found), tuple(cluster.lines))
+            cluster.stop()
         return played
 
     return virtual.run(environment, main)
 
 
 async def _watch(
-    house: houses.House,
+    cluster: clusters.Cluster,
     events: tuple[faults.Event, ...],
     tasks: anyio.abc.TaskGroup,
 ) -> list[checks.Violation]:
     """Lets events happen, and returns what did not hold."""
-    scene = faults.Scene(house, faults.Disturbances(house))
+    scene = faults.Scene(cluster, faults.Disturbances(cluster))
     configurations = checks.ConfigurationCheck(scene)
-    await house.start(_SETTLE_S)
+    await cluster.start(_SETTLE_S)
     evacuations = checks.EvacuationCheck(scene)
     tasks.start_soon(configurations.run)
     tasks.start_soon(evacuations.run)
-    tasks.start_soon(callers.DeadlyCallers(house, len(events)).run)
+    tasks.start_soon(callers.DeadlyCallers(cluster, len(events)).run)
     await faults.play(scene, events, _KINDS)
-    calm_s = house.now_s
+    calm_s = cluster.now_s
     await anyio.sleep(_QUIET_S - checks.TOPICS_KNOWN_WITHIN_S)
-    ends = checks.find_ends(house)
+    ends = checks.find_ends(cluster)
     await anyio.sleep(checks.TOPICS_KNOWN_WITHIN_S)
     return [
         *configurations.violations,
         *evacuations.violations,
-        *checks.check_owners(house),
-        *checks.check_deadly(house, calm_s),
-        *checks.check_handovers(house),
-        *checks.check_topics(house, ends),
-        *checks.check_served(house),
+        *checks.check_owners(cluster),
+        *checks.check_deadly(cluster, calm_s),
+        *checks.check_handovers(cluster),
+        *checks.check_topics(cluster, ends),
+        *checks.check_served(cluster),
     ]
 
 
@@ -161,34 +161,34 @@
 
 
 class Found(NamedTuple):
-    """A seed whose house broke a promise."""
+    """A seed whose cluster broke a promise."""
 
     seed: int
     violations: tuple[checks.Violation, ...]
 
 
 Draw = Callable[[int], tuple[faults.Event, ...]]
-"""Returns the events of a seed's house."""
+"""Returns the events of a seed's cluster."""
 
 
 def draw(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a seed's house, without planned work."""
+    """Returns the events of a seed's cluster, without planned work."""
     return faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
 def draw_beside_planned(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a seed's house, and the operator's planned work."""
+    """Returns the events of a seed, including planned evacuations."""
     return tuple(sorted(draw(seed) + faults.draw_planned(seed, _LENGTH_S)))
 
 
 def draw_beside_deadly(seed: int) -> tuple[faults.Event, ...]:
-    """Returns all events of a seed's house, and requests that end servers."""
+    """Returns all events of a seed's cluster, and requests that end servers."""
     deadly = faults.draw_deadly(seed, _LENGTH_S)
     return tuple(sorted(draw_beside_planned(seed) + deadly))
 
 
 def draw_moving(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a house whose keys move and are asked for."""
+    """Returns the events of a cluster whose keys move and are asked for."""
     return moving.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
@@ -218,7 +218,7 @@
     until_s: float | None = None,
     draw_events: Draw = draw_beside_deadly,
 ) -> tuple[int, list[Found]]:
-    """Plays one house for each seed.
+    """Plays one cluster for each seed.
 
     Args:
         seeds: Which.
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
@@ -5,7 +5,7 @@
 import anyio
 
 from bridgecross_core import outcomes
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers
 from bridgecross_emulator import virtual
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        house: houses.House,
+        cluster: clusters.Cluster,
         first_key: int,
         last_key: int,
         rate_per_s: float,
@@ -32,12 +32,12 @@
         """Asks for nothing yet.
 
         Args:
-            house: Is asked.
+            cluster: Is asked.
             first_key: The first key that is asked for.
             last_key: The last one.
             rate_per_s: Requests a second.
         """
-        self._house = house
+        self._cluster = cluster
         self._keys = range(first_key, min(last_key, keymap.LAST_KEY) + 1)
         self._rate_per_s = rate_per_s
         self._rng = random.Random(f"{first_key} {last_key}")
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Begins to ask."""
-        self._house.run_beside(self._run)
+        self._cluster.run_beside(self._run)
 
     def stop(self) -> None:
         """Asks no more; what was asked goes on."""
@@ -57,10 +57,10 @@
         with self._scope:
             while True:
                 await anyio.sleep(self._rng.expovariate(self._rate_per_s))
-                instance = self._rng.choice(self._house.instances)
+                instance = self._rng.choice(self._cluster.instances)
                 request = self._make_request(instance)
                 if instance.configuration_version:
-                    self._house.run_beside(self._ask, instance, request)
+                    self._cluster.run_beside(self._ask, instance, request)
 
     def _make_request(
         self, instance: instances.EmulatedInstance
--- a/tests/emulated/crash_scene.py
+++ b/tests/emulated/crash_scene.py
@@ -1,4 +1,4 @@
-"""Callers of a house, one of whose requests ends the servers that run it."""
+"""Callers of a cluster, one of whose requests ends the servers that run it."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 from bridgecross_core import outcomes
 from bridgecross_emulator import callers
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import virtual
 
@@ -37,10 +37,12 @@
 
 
 class Scene:
-    """A house, and callers who keep coming."""
+    """A cluster, and callers who keep coming."""
 
-    def __init__(self, house: houses.House, service: str, seed: int) -> None:
-        self.house = house
+    def __init__(
+        self, cluster: clusters.Cluster, service: str, seed: int
+    ) -> None:
+        self.cluster = cluster
         self.service = service
         self.told: list[Told] = []
         # From when nothing is wrong any more.
@@ -63,14 +65,14 @@
     ) -> outcomes.Outcome:
         """Sends one request under an id of its own; returns its outcome."""
         if instance is None:
-            instance = self._rng.choice(callers.list_reachable(self.house))
+            instance = self._rng.choice(callers.list_reachable(self.cluster))
         if key is None:
             key = self._rng.randrange(65_536)
         self._count += 1
         outcome = await callers.send(
             instance, f"id-{self._count}", target, key, caller, body
         )
-        self.told.append(Told(self.house.now_s, target, outcome, body))
+        self.told.append(Told(self.cluster.now_s, target, outcome, body))
         return outcome
 
     async def keep_calling(
@@ -130,12 +132,12 @@
 
     def end_times_s(self, target: bytes) -> list[float]:
         """Returns when servers ended by running some target."""
-        ends = self.house.fleet.ends
+        ends = self.cluster.fleet.ends
         return [each.at_s for each in ends if each.target == target]
 
     def run_times_s(self, target: bytes) -> list[float]:
         """Returns when servers began to run what some target asks for."""
-        return [r.at_s for r in self.house.fleet.runs if r.target == target]
+        return [r.at_s for r in self.cluster.fleet.runs if r.target == target]
 
     def served_ratio(self, from_s: float, prefix: bytes) -> float:
         """Returns the part of requests served that came to an end since."""
@@ -158,7 +160,7 @@
     # Failure domains of the servers.
     server_domain_count: int = 1
     warmup: instances.Warmup | None = None
-    # For how long the house runs before anything happens.
+    # For how long the cluster runs before anything happens.
     settle_s: float = 8.0
     # Requests a second to each of the services, all the while.
     asks_per_s: float = 0.0
@@ -169,8 +171,8 @@
 
         async def main() -> Scene:
             async with anyio.create_task_group() as tasks:
-                house = houses.House(
-                    houses.HouseSettings(
+                cluster = clusters.Cluster(
+                    clusters.ClusterSettings(
                         instance_count=self.instance_count,
                         server_count=self.server_count,
                         free_server_count=self.server_count,
@@ -181,8 +183,8 @@
                     environment,
                     tasks,
                 )
-                await house.start(self.settle_s)
-                scene = Scene(house, self.service, self.seed)
+                await cluster.start(self.settle_s)
+                scene = Scene(cluster, self.service, self.seed)
                 async with anyio.create_task_group() as asking:
                     if self.asks_per_s:
                         for each in (instances.SERVICE, instances.FREE_SERVICE):
@@ -191,7 +193,7 @@
                             )
                     await act(scene)
                     asking.cancel_scope.cancel()
-                house.stop()
+                cluster.stop()
             return scene
 
         random.seed(self.seed)
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -177,7 +177,7 @@
     put_back: Callable[[], contextlib.AbstractContextManager[object]]
     # The promise that it breaks.
     promise: str
-    # The first seed whose house shows it, counted from 1.
+    # The first seed whose cluster shows it, counted from 1.
     seed: int
     # What happens there.
     draw: Callable[[int], tuple[faults.Event, ...]] = search.draw
--- a/tests/emulated/test_evacuation.py
+++ b/tests/emulated/test_evacuation.py
@@ -19,7 +19,7 @@
 
 IN_FORCE_WITHIN_S = 5.0
 DOMAIN = "zone-1"
-# Before a change, the house has run for as long.
+# Before a change, the cluster has run for as long.
 RUN_S = (6.0, 6.35, 6.7)
 # After an evacuation the domain stays empty for so long.
 EMPTY_S = 9.0
@@ -27,14 +27,14 @@
 
 def _find_late(scene, trouble, taken_s, until_s):
     """Returns requests that instances in touch sent to the domain too late."""
-    house = scene.house
-    domain_of = {s.name: s.domain for s in house.fleet.servers.values()}
+    cluster = scene.cluster
+    domain_of = {s.name: s.domain for s in cluster.fleet.servers.values()}
     disturbed_s = {
         each.settings.peer_address: at_s
         for each, at_s in trouble.disturbed_s.items()
     }
     late = []
-    for run in house.fleet.runs:
+    for run in cluster.fleet.runs:
         if domain_of[run.server] != DOMAIN:
             continue
         touched_s = disturbed_s.get(run.sender, float("-inf"))
@@ -51,7 +51,7 @@
     run_s: float,
     server_domain_count: int = 3,
 ) -> crash_scene.Scene:
-    """Plays a house with servers in some failure domains."""
+    """Plays a cluster with servers in some failure domains."""
     return crash_scene.Play(
         server_domain_count=server_domain_count,
         settle_s=run_s,
@@ -65,72 +65,74 @@
     found = []
 
     async def act(scene):
-        trouble = troubles.Scene(scene.house)
+        trouble = troubles.Scene(scene.cluster)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(happen, trouble)
             await anyio.sleep(0.05)
-            taken_s = scene.house.evacuate(DOMAIN)
+            taken_s = scene.cluster.evacuate(DOMAIN)
             await anyio.sleep(IN_FORCE_WITHIN_S + EMPTY_S)
-            found.extend(_find_late(scene, trouble, taken_s, scene.house.now_s))
+            found.extend(
+                _find_late(scene, trouble, taken_s, scene.cluster.now_s)
+            )
             tasks.cancel_scope.cancel()
 
     scene = _play(act, run_s)
     assert found == []
-    assert scene.house.fleet.overlaps == []
+    assert scene.cluster.fleet.overlaps == []
 
 
 def test_the_rest_is_served_while_a_domain_is_emptied():
     async def act(scene):
         await anyio.sleep(2.0)
-        scene.house.evacuate(DOMAIN)
+        scene.cluster.evacuate(DOMAIN)
         await anyio.sleep(8.0)
 
     scene = _play(act, 6.0)
     for service in (instances.SERVICE, instances.FREE_SERVICE):
         prefix = f"/{service}/".encode()
         assert scene.served_ratio(8.0, prefix) > 0.99
-    assert scene.house.fleet.overlaps == []
+    assert scene.cluster.fleet.overlaps == []
 
 
 def test_the_only_domain_of_the_servers_can_be_evacuated():
     """Nothing can be served then, and callers are told so at once."""
 
     async def act(scene):
-        scene.house.evacuate("zone-0")
+        scene.cluster.evacuate("zone-0")
         await anyio.sleep(8.0)
-        runs = len(scene.house.fleet.runs)
+        runs = len(scene.cluster.fleet.runs)
         await anyio.sleep(3.0)
-        assert len(scene.house.fleet.runs) == runs
-        told = [t for t in scene.told if t.at_s > scene.house.now_s - 3.0]
+        assert len(scene.cluster.fleet.runs) == runs
+        told = [t for t in scene.told if t.at_s > scene.cluster.now_s - 3.0]
         assert told
         assert not any(t.is_served for t in told)
         assert {t.outcome.status for t in told} == {503}
-        scene.house.take_back("zone-0")
+        scene.cluster.take_back("zone-0")
         await anyio.sleep(6.0)
-        assert scene.served_ratio(scene.house.now_s - 1.0, b"/") > 0.95
+        assert scene.served_ratio(scene.cluster.now_s - 1.0, b"/") > 0.95
 
     _play(act, 6.0, server_domain_count=1)
 
 
 def test_two_domains_can_be_evacuated_and_taken_back_in_turn():
     async def act(scene):
-        house = scene.house
-        begun_s = house.evacuate("zone-0")
+        cluster = scene.cluster
+        begun_s = cluster.evacuate("zone-0")
         await anyio.sleep(1.0)
-        house.evacuate("zone-1")
+        cluster.evacuate("zone-1")
         await anyio.sleep(8.0)
-        house.take_back("zone-0")
+        cluster.take_back("zone-0")
         await anyio.sleep(8.0)
-        domain_of = {s.name: s.domain for s in house.fleet.servers.values()}
+        domain_of = {s.name: s.domain for s in cluster.fleet.servers.values()}
         from_s = begun_s + 1.0 + IN_FORCE_WITHIN_S
-        late = [r for r in house.fleet.runs if r.at_s > from_s]
+        late = [r for r in cluster.fleet.runs if r.at_s > from_s]
         assert "zone-1" not in {domain_of[r.server] for r in late}
         assert "zone-0" not in {
             domain_of[r.server] for r in late if r.at_s < begun_s + 9.0
         }
 
     scene = _play(act, 6.0)
-    assert scene.house.fleet.overlaps == []
+    assert scene.cluster.fleet.overlaps == []
     assert scene.served_ratio(14.0, b"/") > 0.99
 
 
@@ -138,21 +140,21 @@
     """What the newest records do not hold any more is over."""
 
     async def act(scene):
-        house = scene.house
-        house.evacuate(DOMAIN)
+        cluster = scene.cluster
+        cluster.evacuate(DOMAIN)
         await anyio.sleep(3.0)
-        house.log.is_away = True
+        cluster.log.is_away = True
         await anyio.sleep(2.0)
-        house.take_back(DOMAIN)
-        house.evacuate("zone-2")
-        house.log.forget(instances.CONFIGURATION_TOPIC)
-        house.log.is_away = False
+        cluster.take_back(DOMAIN)
+        cluster.evacuate("zone-2")
+        cluster.log.forget(instances.CONFIGURATION_TOPIC)
+        cluster.log.is_away = False
         await anyio.sleep(9.0)
-        domain_of = {s.name: s.domain for s in house.fleet.servers.values()}
+        domain_of = {s.name: s.domain for s in cluster.fleet.servers.values()}
         free = [
             domain_of[r.server]
-            for r in house.fleet.runs
-            if r.at_s > house.now_s - 3.0
+            for r in cluster.fleet.runs
+            if r.at_s > cluster.now_s - 3.0
             and r.target.startswith(f"/{instances.FREE_SERVICE}/".encode())
         ]
         assert DOMAIN in free
--- a/tests/emulated/test_first_start.py
+++ b/tests/emulated/test_first_start.py
@@ -10,7 +10,7 @@
 import pytest
 import simpy
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import virtual
 
 _COUNT = 20
@@ -23,41 +23,41 @@
 
     async def main() -> tuple[float, float]:
         async with anyio.create_task_group() as tasks:
-            settings = houses.HouseSettings(
+            settings = clusters.ClusterSettings(
                 _COUNT, server_count=6, is_first_start=is_first_start
             )
-            house = houses.House(settings, environment, tasks)
-            await house.start(settle_s=0.0)
+            cluster = clusters.Cluster(settings, environment, tasks)
+            await cluster.start(settle_s=0.0)
             if trouble is not None:
-                tasks.start_soon(trouble, house)
+                tasks.start_soon(trouble, cluster)
             ready_s = float("inf")
             for _ in range(80):
                 await anyio.sleep(0.1)
                 complete = [
-                    i.parts.cluster_state.is_complete for i in house.instances
+                    i.parts.cluster_state.is_complete for i in cluster.instances
                 ]
                 if all(complete):
-                    ready_s = min(ready_s, house.now_s)
-            calls = sum(each.way.call_count for each in house.instances)
-            house.stop()
+                    ready_s = min(ready_s, cluster.now_s)
+            calls = sum(each.way.call_count for each in cluster.instances)
+            cluster.stop()
         return calls / _COUNT, ready_s
 
     return virtual.run(environment, main)
 
 
-async def _lose_the_log(house: houses.House) -> None:
-    house.log.is_away = True
+async def _lose_the_log(cluster: clusters.Cluster) -> None:
+    cluster.log.is_away = True
     await anyio.sleep(2.0)
-    house.log.is_away = False
+    cluster.log.is_away = False
 
 
-async def _kill_the_leader(house: houses.House) -> None:
-    while not [line for line in house.lines if line.event == "leads"]:
+async def _kill_the_leader(cluster: clusters.Cluster) -> None:
+    while not [line for line in cluster.lines if line.event == "leads"]:
         await anyio.sleep(0.01)
-    leader = house.leader
+    leader = cluster.leader
     leader.kill()
     await anyio.sleep(1.0)
-    house.restart(leader)
+    cluster.restart(leader)
 
 
 def test_most_first_reads_are_left_to_the_leader():
--- a/tests/emulated/test_handovers.py
+++ b/tests/emulated/test_handovers.py
@@ -1,6 +1,6 @@
 """Keys are not given on before their last holder has given them back.
 
-Each is what was left of a random house that broke the promise.
+Each is what was left of a random cluster that broke the promise.
 """
 
 from bridgecross_emulator import faults
--- a/tests/emulated/test_innocent.py
+++ b/tests/emulated/test_innocent.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from tests.emulated import crash_scene
 
@@ -31,7 +31,7 @@
     for _ in range(6):
         newest = [
             run.server
-            for run in scene.house.fleet.runs
+            for run in scene.cluster.fleet.runs
             if run.target == popular(scene)
         ][-1]
         _crash(scene, newest)
@@ -63,24 +63,24 @@
 
 async def _crash_beside_restarts(scene: crash_scene.Scene) -> None:
     """Instances that start anew have seen none of its answers."""
-    house = scene.house
+    cluster = scene.cluster
     for number, name in enumerate(_names(scene)):
-        killed = house.instances[number % len(house.instances)]
+        killed = cluster.instances[number % len(cluster.instances)]
         killed.kill()
         _crash(scene, name)
         await anyio.sleep(1.0)
-        house.restart(killed)
+        cluster.restart(killed)
         await anyio.sleep(2.0)
 
 
 async def _crash_beside_a_cut(scene: crash_scene.Scene) -> None:
     """Who is cut off hears of ends and answers only afterwards."""
-    house = scene.house
-    house.isolate(house.others()[0])
+    cluster = scene.cluster
+    cluster.isolate(cluster.others()[0])
     for name in _names(scene)[:4]:
         _crash(scene, name)
         await anyio.sleep(1.5)
-    house.network.heal()
+    cluster.network.heal()
 
 
 def popular(scene: crash_scene.Scene) -> bytes:
@@ -89,14 +89,14 @@
 
 
 def _names(scene: crash_scene.Scene) -> list[str]:
-    fleet = scene.house.fleet
+    fleet = scene.cluster.fleet
     return [
         s.name for s in fleet.servers.values() if s.service == scene.service
     ]
 
 
 def _crash(scene: crash_scene.Scene, name: str) -> None:
-    fleet = scene.house.fleet
+    fleet = scene.cluster.fleet
     found = [s for s in fleet.servers.values() if s.name == name]
     fleet.crash(found[0])
 
@@ -114,7 +114,7 @@
                 )
             await anyio.sleep(2.0)
             await harm(scene)
-            scene.calm_s = scene.house.now_s + 4.0
+            scene.calm_s = scene.cluster.now_s + 4.0
             await anyio.sleep(8.0)
             callers.cancel_scope.cancel()
 
@@ -142,7 +142,7 @@
 def test_a_popular_request_is_never_refused_for_being_at_work(service, harm):
     scene = _play(service, harm)
     refused = [
-        line for line in scene.house.lines if line.event == "poison_refused"
+        line for line in scene.cluster.lines if line.event == "poison_refused"
     ]
     assert refused == []
     assert scene.served_ratio(scene.calm_s, popular(scene)) >= SERVED_LEAST
@@ -162,7 +162,7 @@
 ) -> None:
     """Lets callers ask for a request that ends servers."""
     target = f"/{scene.service}/deadly-{name}".encode()
-    scene.house.fleet.deadly.add(target)
+    scene.cluster.fleet.deadly.add(target)
     with anyio.move_on_after(for_s):
         await scene.ask_from_everywhere(target, DEADLY_GAP_S, key)
 
@@ -170,10 +170,10 @@
 async def _lose_domains(scene: crash_scene.Scene) -> None:
     """One failure domain after the other."""
     for number in range(4):
-        domain = houses.name_domain(number % 2)
-        for server in scene.house.fleet.servers.values():
+        domain = clusters.name_domain(number % 2)
+        for server in scene.cluster.fleet.servers.values():
             if server.domain == domain and server.service == scene.service:
-                scene.house.fleet.crash(server)
+                scene.cluster.fleet.crash(server)
         await anyio.sleep(6.0)
 
 
@@ -192,7 +192,7 @@
 async def _deadly_often(scene: crash_scene.Scene) -> None:
     """One that comes so often that no owner of the key lives to answer."""
     target = f"/{scene.service}/deadly-often".encode()
-    scene.house.fleet.deadly.add(target)
+    scene.cluster.fleet.deadly.add(target)
     with anyio.move_on_after(8.0):
         await scene.ask_from_everywhere(target, 0.01, POPULAR_KEY)
 
@@ -212,12 +212,12 @@
 
 async def _owner_moves(scene: crash_scene.Scene) -> None:
     """No answer comes for seconds, each time that its owner ends."""
-    for server in scene.house.fleet.servers.values():
+    for server in scene.cluster.fleet.servers.values():
         server.takes_late = True
     for _ in range(4):
         await _crash_where_it_is_now(scene)
         await anyio.sleep(4.0)
-    for server in scene.house.fleet.servers.values():
+    for server in scene.cluster.fleet.servers.values():
         server.takes_late = False
 
 
@@ -225,7 +225,7 @@
     """The server that has run the popular request last."""
     newest = [
         run.server
-        for run in scene.house.fleet.runs
+        for run in scene.cluster.fleet.runs
         if run.target == popular(scene)
     ][-1]
     _crash(scene, newest)
@@ -233,17 +233,17 @@
 
 async def _fail_and_crash(scene: crash_scene.Scene) -> None:
     """All its answers are errors."""
-    scene.house.fleet.failing.add(popular(scene))
+    scene.cluster.fleet.failing.add(popular(scene))
     await _crash_where_it_is(scene)
 
 
 async def _fail_and_crash_in_turn(scene: crash_scene.Scene) -> None:
-    scene.house.fleet.failing.add(popular(scene))
+    scene.cluster.fleet.failing.add(popular(scene))
     await _crash_in_turn(scene)
 
 
 async def _fail_beside_deadly(scene: crash_scene.Scene) -> None:
-    scene.house.fleet.failing.add(popular(scene))
+    scene.cluster.fleet.failing.add(popular(scene))
     await _deadly_at_its_key(scene)
 
 
@@ -288,7 +288,7 @@
             )
             await anyio.sleep(crowd.known_for_s)
             await crowd.harm(scene)
-            scene.calm_s = scene.house.now_s + CALM_AFTER_S
+            scene.calm_s = scene.cluster.now_s + CALM_AFTER_S
             await anyio.sleep(8.0)
             callers.cancel_scope.cancel()
 
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -24,14 +24,14 @@
 
 
 async def _take_log_away(scene, server):
-    for each in scene.house.instances:
+    for each in scene.cluster.instances:
         each.way.cut()
 
 
 async def _take_log_away_for_a_while(scene, server):
     await _take_log_away(scene, server)
     await anyio.sleep(3.0)
-    for each in scene.house.instances:
+    for each in scene.cluster.instances:
         each.way.heal()
 
 
@@ -48,7 +48,7 @@
 async def _take_log_away_and_kill_leader(scene, server):
     await _take_log_away(scene, server)
     await anyio.sleep(0.5)
-    scene.house.leader.kill()
+    scene.cluster.leader.kill()
 
 
 async def _state_it_late(scene, server):
@@ -68,15 +68,15 @@
 }
 
 
-def _find_late(house):
+def _find_late(cluster):
     """Returns requests to servers that had told their sender long before."""
     told_s = {
         (sender, name): at_s
-        for (sender, name, _), at_s in house.fleet.told_leaving_s.items()
+        for (sender, name, _), at_s in cluster.fleet.told_leaving_s.items()
     }
     return [
         run
-        for run in house.fleet.runs
+        for run in cluster.fleet.runs
         if run.at_s - told_s.get((run.sender, run.server), run.at_s) > WITHIN_S
     ]
 
@@ -89,7 +89,7 @@
 
 def _pick(scene, service):
     """Returns a server of a service."""
-    servers = scene.house.fleet.servers.values()
+    servers = scene.cluster.fleet.servers.values()
     return next(s for s in servers if s.service == service)
 
 
@@ -115,9 +115,9 @@
             tasks.cancel_scope.cancel()
 
     scene = _play(act)
-    assert scene.house.fleet.told_leaving_s
-    assert _find_late(scene.house) == []
-    assert scene.house.fleet.overlaps == []
+    assert scene.cluster.fleet.told_leaving_s
+    assert _find_late(scene.cluster) == []
+    assert scene.cluster.fleet.overlaps == []
 
 
 def test_the_rest_is_served_while_a_server_says_that_it_leaves():
@@ -132,7 +132,7 @@
     for service in (instances.SERVICE, instances.FREE_SERVICE):
         prefix = f"/{service}/".encode()
         assert scene.served_ratio(6.0, prefix) > 0.99
-    assert _find_late(scene.house) == []
+    assert _find_late(scene.cluster) == []
 
 
 def test_the_next_run_of_a_server_that_left_is_used():
@@ -144,11 +144,11 @@
         await anyio.sleep(3.0)
         server.crash()
         server.start()
-        started_s = scene.house.now_s
+        started_s = scene.cluster.now_s
         await anyio.sleep(4.0)
         names.extend(
             run.server
-            for run in scene.house.fleet.runs
+            for run in scene.cluster.fleet.runs
             if run.at_s > started_s and run.server == server.name
         )
 
@@ -207,4 +207,4 @@
 
     with put_back():
         scene = _play(act)
-    assert _find_late(scene.house)
+    assert _find_late(scene.cluster)
--- a/tests/emulated/test_poison_news.py
+++ b/tests/emulated/test_poison_news.py
@@ -21,7 +21,7 @@
 import simpy
 
 from bridgecross_core import ids
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import virtual
 from bridgecross_entry import attempts
@@ -33,11 +33,11 @@
 
 
 class Scene:
-    """A house in which servers end under one request."""
+    """A cluster in which servers end under one request."""
 
-    def __init__(self, house: houses.House) -> None:
-        self.house = house
-        self.leader = house.leader
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self.cluster = cluster
+        self.leader = cluster.leader
         self._count = 0
 
     def end_server(self, seen_by: instances.EmulatedInstance) -> None:
@@ -73,7 +73,7 @@
         """Returns the instances that refuse the request."""
         return {
             each.settings.name
-            for each in self.house.instances
+            for each in self.cluster.instances
             if each.parts.watch.ledger.refused_for_s(SUBJECT) > 0
         }
 
@@ -81,52 +81,52 @@
         """Returns the instances that take requests."""
         return {
             each.settings.name
-            for each in self.house.instances
+            for each in self.cluster.instances
             if not each.host.stands_still and each.configuration_version
         }
 
 
 async def _all_is_well(scene: Scene) -> None:
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:3])
 
 
 async def _log_away(scene: Scene) -> None:
-    scene.house.log.is_away = True
+    scene.cluster.log.is_away = True
     await anyio.sleep(3.0)
     await _all_is_well(scene)
 
 
 async def _leader_dead(scene: Scene) -> None:
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     scene.leader.kill()
     scene.end_server(others[2])
 
 
 async def _leader_frozen(scene: Scene) -> None:
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
-    scene.house.freeze(scene.leader)
+    scene.cluster.freeze(scene.leader)
     scene.end_server(others[2])
 
 
 async def _leader_dead_and_log_away(scene: Scene) -> None:
-    scene.house.log.is_away = True
+    scene.cluster.log.is_away = True
     await _leader_dead(scene)
 
 
 async def _many_frozen(scene: Scene) -> None:
     """Some of those who should pass a word on say nothing."""
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     for each in others[3::3]:
-        scene.house.freeze(each)
+        scene.cluster.freeze(each)
     scene.end_server(others[2])
 
 
 async def _many_dead(scene: Scene) -> None:
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     for each in others[3::3]:
         each.kill()
@@ -135,7 +135,7 @@
 
 async def _seen_by_who_is_dead(scene: Scene) -> None:
     """Those who saw the first two ends are gone when the third comes."""
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     await anyio.sleep(0.4)
     for each in others[:2]:
@@ -144,22 +144,22 @@
 
 
 async def _connections_silent(scene: Scene) -> None:
-    others = scene.house.others()
+    others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     await anyio.sleep(0.4)
-    scene.house.silence()
+    scene.cluster.silence()
     scene.end_server(others[2])
 
 
 def _halves(scene: Scene) -> tuple[list[instances.EmulatedInstance], ...]:
-    others = scene.house.others()
+    others = scene.cluster.others()
     middle = len(others) // 2
     return [scene.leader, *others[:middle]], others[middle:]
 
 
 async def _cut(scene: Scene, for_s: float) -> None:
-    """Separates the halves of a house for a while."""
-    network = scene.house.network
+    """Separates the halves of a cluster for a while."""
+    network = scene.cluster.network
     for one in _halves(scene)[0]:
         for other in _halves(scene)[1]:
             pair = (one.settings.peer_address, other.settings.peer_address)
@@ -196,7 +196,7 @@
 
 async def _restart(scene: Scene) -> None:
     """A process that was not there takes requests."""
-    others = scene.house.others()
+    others = scene.cluster.others()
     killed = others[3 % len(others)]
     killed.kill()
     await scene.end_servers(*others[:3])
@@ -205,15 +205,15 @@
 
 
 async def _restart_with_log_away(scene: Scene) -> None:
-    scene.house.log.is_away = True
+    scene.cluster.log.is_away = True
     await _restart(scene)
 
 
 async def _restart_of_all(scene: Scene) -> None:
     """Only the log knows what was."""
-    await scene.end_servers(*scene.house.others()[:3])
+    await scene.end_servers(*scene.cluster.others()[:3])
     await anyio.sleep(1.0)
-    killed = list(scene.house.instances)
+    killed = list(scene.cluster.instances)
     for each in killed:
         each.kill()
     await anyio.sleep(1.0)
@@ -225,7 +225,7 @@
 ) -> None:
     """Starts instances anew; returns once they take requests."""
     for each in killed:
-        scene.house.restart(each)
+        scene.cluster.restart(each)
     count = len(scene.running()) + len(killed)
     while len(scene.running()) < count:
         await anyio.sleep(0.001)
@@ -240,14 +240,14 @@
 
     async def main() -> set[str]:
         async with anyio.create_task_group() as tasks:
-            settings = houses.HouseSettings(instance_count=count, seed=seed)
-            house = houses.House(settings, environment, tasks)
-            await house.start(5.0 + 0.13 * seed)
-            scene = Scene(house)
+            settings = clusters.ClusterSettings(instance_count=count, seed=seed)
+            cluster = clusters.Cluster(settings, environment, tasks)
+            await cluster.start(5.0 + 0.13 * seed)
+            scene = Scene(cluster)
             await happen(scene)
             await anyio.sleep(KNOWN_WITHIN_S)
             ignorant = scene.running() - scene.knowing()
-            house.stop()
+            cluster.stop()
         return ignorant
 
     return virtual.run(environment, main)
--- a/tests/emulated/test_repeated_crash.py
+++ b/tests/emulated/test_repeated_crash.py
@@ -28,7 +28,7 @@
 
 
 async def _keep_ending_servers(scene: crash_scene.Scene) -> None:
-    scene.house.fleet.deadly.add(scene.deadly)
+    scene.cluster.fleet.deadly.add(scene.deadly)
     async with anyio.create_task_group() as callers:
         callers.start_soon(scene.serve_others)
         callers.start_soon(
@@ -45,7 +45,7 @@
 def test_a_request_that_ends_its_servers_ends_three_and_no_more():
     for service in SERVICES:
         scene = _play_repeated_crash(service)
-        ends_s = scene.house.fleet.ends_s
+        ends_s = scene.cluster.fleet.ends_s
         assert len(ends_s) == 3
         late = [
             run_s
@@ -60,7 +60,7 @@
 def test_others_are_served_beside_it():
     for service in SERVICES:
         scene = _play_repeated_crash(service)
-        third_s = scene.house.fleet.ends_s[2]
+        third_s = scene.cluster.fleet.ends_s[2]
         prefix = f"/{service}/harmless".encode()
         # A lease is waited out, and the server is back, before all is well.
         assert scene.served_ratio(third_s + 6.0, prefix) >= 0.99
--- a/tests/emulated/test_rest.py
+++ b/tests/emulated/test_rest.py
@@ -17,10 +17,10 @@
 FULL_FOR_S = 8.0
 
 
-def _find_most(house):
+def _find_most(cluster):
     """Returns the most requests of one sender to one server in any rest."""
     by_pair = collections.defaultdict(list)
-    for each in house.fleet.turned_away:
+    for each in cluster.fleet.turned_away:
         by_pair[each.sender, each.server].append(each.at_s)
     return max(
         sum(told_s + ON_THE_WAY_S < at_s < told_s + REST_S for at_s in times_s)
@@ -30,12 +30,12 @@
 
 
 def _play(service, full_count):
-    """Plays a house in which some servers are full for a while."""
+    """Plays a cluster in which some servers are full for a while."""
 
     async def act(scene):
         servers = [
             server
-            for server in scene.house.fleet.servers.values()
+            for server in scene.cluster.fleet.servers.values()
             if server.service == service
         ]
         for server in servers[:full_count]:
@@ -62,10 +62,10 @@
 )
 def test_a_server_that_asks_for_rest_is_left_alone(service, full_count):
     scene = _play(service, full_count)
-    assert scene.house.fleet.turned_away
-    assert _find_most(scene.house) <= ALLOWED_COUNT
+    assert scene.cluster.fleet.turned_away
+    assert _find_most(scene.cluster) <= ALLOWED_COUNT
     # Once they work again, they are used again.
-    calm_s = scene.house.now_s - 0.5
+    calm_s = scene.cluster.now_s - 0.5
     assert scene.served_ratio(calm_s, f"/{service}/".encode()) > 0.95
 
 
@@ -89,4 +89,4 @@
 def test_a_known_fault_is_found(put_back):
     with put_back():
         scene = _play(instances.SERVICE, 3)
-    assert _find_most(scene.house) > ALLOWED_COUNT
+    assert _find_most(scene.cluster) > ALLOWED_COUNT
--- a/tests/emulated/test_search.py
+++ b/tests/emulated/test_search.py
@@ -8,7 +8,7 @@
 from bridgecross_emulator import search
 from tests.emulated import mutants
 
-# Always the same houses in CI; fresh ones by hand.
+# Always the same clusters in CI; fresh ones by hand.
 CI_SEEDS = range(1, 13)
 MOVING_SEEDS = (1, 3)
 
--- a/tests/emulated/test_suspended.py
+++ b/tests/emulated/test_suspended.py
@@ -17,7 +17,7 @@
 import anyio
 import simpy
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers
 from bridgecross_emulator import virtual
@@ -32,36 +32,36 @@
 
 
 def _play(
-    act: Callable[[houses.House], Awaitable[None]], **settings: int
+    act: Callable[[clusters.Cluster], Awaitable[None]], **settings: int
 ) -> None:
     environment = simpy.Environment()
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(
-                houses.HouseSettings(**settings), environment, tasks
+            cluster = clusters.Cluster(
+                clusters.ClusterSettings(**settings), environment, tasks
             )
-            await house.start(8.0)
-            await act(house)
-            house.stop()
+            await cluster.start(8.0)
+            await act(cluster)
+            cluster.stop()
 
     virtual.run(environment, main)
 
 
-async def _orders_after_waking(house: houses.House) -> list[float]:
+async def _orders_after_waking(cluster: clusters.Cluster) -> list[float]:
     """Returns when a leader gave orders after it was suspended.
 
     It is cut off from all that could tell it of its successor.
     """
-    leader = house.leader
-    house.isolate(leader)
+    leader = cluster.leader
+    cluster.isolate(leader)
     leader.way.cut()
-    await house.suspend(leader, SUSPENDED_S)
-    woken_s = house.now_s
+    await cluster.suspend(leader, SUSPENDED_S)
+    woken_s = cluster.now_s
     orders_s = []
-    while house.now_s < woken_s + 2 * LEAD_LASTS_S:
+    while cluster.now_s < woken_s + 2 * LEAD_LASTS_S:
         if leader.parts.cluster_tasks.may_order:
-            orders_s.append(round(house.now_s - woken_s, 2))
+            orders_s.append(round(cluster.now_s - woken_s, 2))
         await anyio.sleep(0.01)
     return orders_s
 
@@ -70,12 +70,12 @@
     orders_s = []
     ages_s = []
 
-    async def act(house: houses.House) -> None:
-        orders_s.extend(await _orders_after_waking(house))
-        follower = house.others()[0]
+    async def act(cluster: clusters.Cluster) -> None:
+        orders_s.extend(await _orders_after_waking(cluster))
+        follower = cluster.others()[0]
         follower.way.cut()
-        house.isolate(follower)
-        await house.suspend(follower, SUSPENDED_S)
+        cluster.isolate(follower)
+        await cluster.suspend(follower, SUSPENDED_S)
         ages_s.append(follower.parts.cluster_state.configuration_age_s)
 
     _play(act, server_count=3)
@@ -86,10 +86,10 @@
 def test_a_caller_whose_time_is_over_is_told_so():
     told_s = []
 
-    async def act(house: houses.House) -> None:
+    async def act(cluster: clusters.Cluster) -> None:
         # No server answers in time.
-        house.fleet.settings = servers.ServerSettings(work_s=10.0)
-        instance = house.others()[0]
+        cluster.fleet.settings = servers.ServerSettings(work_s=10.0)
+        instance = cluster.others()[0]
         request = attempts.EntryRequest(
             request_id="id",
             method=b"GET",
@@ -106,13 +106,13 @@
         async def call() -> None:
             virtual.enter(instance.host)
             await instance.request(request)
-            told_s.append(house.now_s)
+            told_s.append(cluster.now_s)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call)
             await anyio.sleep(0.05)
-            await house.suspend(instance, SUSPENDED_S)
-            woken_s = house.now_s
+            await cluster.suspend(instance, SUSPENDED_S)
+            woken_s = cluster.now_s
             await anyio.sleep(1.0)
         assert told_s[0] - woken_s < TOLD_WITHIN_S
 
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -33,7 +33,7 @@
 def find_overruns(scene: crash_scene.Scene) -> list[tuple[str, float, int]]:
     """Returns servers that got too much within a second while cold."""
     times = collections.defaultdict(list)
-    for run in scene.house.fleet.runs:
+    for run in scene.cluster.fleet.runs:
         if run.is_cold:
             times[run.server].append(run.at_s)
     found = []
@@ -49,7 +49,7 @@
 
 
 def play(act, *, seed: int = 1) -> crash_scene.Scene:
-    """Plays a house with servers in three failure domains."""
+    """Plays a cluster with servers in three failure domains."""
 
     async def act_later(scene):
         await anyio.sleep(2.0)
@@ -66,7 +66,7 @@
 
 def _servers(scene, *domains: str):
     return [
-        s for s in scene.house.fleet.servers.values() if s.domain in domains
+        s for s in scene.cluster.fleet.servers.values() if s.domain in domains
     ]
 
 
@@ -99,37 +99,37 @@
 
 
 async def _a_domain_is_taken_back(scene):
-    scene.house.evacuate(DOMAIN)
+    scene.cluster.evacuate(DOMAIN)
     await anyio.sleep(7.0)
-    scene.house.take_back(DOMAIN)
+    scene.cluster.take_back(DOMAIN)
 
 
 async def _all_are_taken_back(scene):
     for domain in ("zone-0", "zone-1", "zone-2"):
-        scene.house.evacuate(domain)
+        scene.cluster.evacuate(domain)
     await anyio.sleep(7.0)
     for domain in ("zone-0", "zone-1", "zone-2"):
-        scene.house.take_back(domain)
+        scene.cluster.take_back(domain)
 
 
 async def _a_leader_goes_meanwhile(scene):
     await _go_dark(scene, DOMAIN, for_s=1.9)
-    leader = scene.house.leader
+    leader = scene.cluster.leader
     leader.kill()
     await anyio.sleep(1.5)
-    scene.house.restart(leader)
+    scene.cluster.restart(leader)
 
 
 async def _some_instances_know_nothing(scene):
     """They reach neither the log nor the others, but all servers."""
-    for instance in scene.house.instances[:3]:
+    for instance in scene.cluster.instances[:3]:
         instance.way.cut()
-        scene.house.isolate(instance)
+        scene.cluster.isolate(instance)
     await anyio.sleep(1.0)
     await _go_dark(scene, "zone-0", "zone-1", "zone-2", for_s=3.0)
     await anyio.sleep(4.0)
-    scene.house.network.heal()
-    for instance in scene.house.instances[:3]:
+    scene.cluster.network.heal()
+    for instance in scene.cluster.instances[:3]:
         instance.way.heal()
 
 
@@ -137,31 +137,31 @@
     """What they were allowed to send is not sent all at once after it."""
     await _go_dark(scene, "zone-0", "zone-1", "zone-2")
     for _ in range(4):
-        frozen = scene.house.instances[:4]
+        frozen = scene.cluster.instances[:4]
         for instance in frozen:
-            scene.house.freeze(instance)
+            scene.cluster.freeze(instance)
         await anyio.sleep(0.6)
         for instance in frozen:
-            scene.house.thaw(instance)
+            scene.cluster.thaw(instance)
         await anyio.sleep(0.1)
 
 
 async def _instances_come_and_go(scene):
     """Another instance ranks first for some of the servers each time."""
     for number in range(4):
-        instance = scene.house.instances[number]
+        instance = scene.cluster.instances[number]
         instance.kill()
         await _go_dark(scene, DOMAIN, "zone-2", for_s=1.0)
-        scene.house.restart(instance)
+        scene.cluster.restart(instance)
         await anyio.sleep(1.0)
 
 
 async def _the_log_is_away(scene):
-    scene.house.log.is_away = True
+    scene.cluster.log.is_away = True
     await anyio.sleep(1.0)
     await _go_dark(scene, DOMAIN, for_s=3.0)
     await anyio.sleep(3.0)
-    scene.house.log.is_away = False
+    scene.cluster.log.is_away = False
 
 
 HAPPENINGS = {
@@ -188,8 +188,8 @@
 
     scene = play(act, seed=seed)
     assert find_overruns(scene) == []
-    assert scene.house.fleet.overlaps == []
-    ends_s = scene.house.now_s
+    assert scene.cluster.fleet.overlaps == []
+    ends_s = scene.cluster.now_s
     assert scene.served_ratio(ends_s - 2.0, b"/") > 0.95
 
 
@@ -201,7 +201,7 @@
         await anyio.sleep(2.9)
 
     scene = play(act)
-    cold = [run for run in scene.house.fleet.runs if run.is_cold]
+    cold = [run for run in scene.cluster.fleet.runs if run.is_cold]
     assert len(cold) >= 12 * 4
 
 
--- a/tests/emulated/test_work.py
+++ b/tests/emulated/test_work.py
@@ -9,7 +9,7 @@
 import simpy
 
 from bridgecross_core import ids
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers as servers_lib
 from bridgecross_emulator import virtual
@@ -23,10 +23,10 @@
 class _Bench:
     """Two servers, and one instance's way to them."""
 
-    def __init__(self, house: houses.House) -> None:
-        self.house = house
-        self.orders = servers_lib.Orders(house.fleet, _SENDER)
-        self.servers = list(house.fleet.servers.values())
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self.cluster = cluster
+        self.orders = servers_lib.Orders(cluster.fleet, _SENDER)
+        self.servers = list(cluster.fleet.servers.values())
         self.listed = [
             model.BackendServer(
                 ids.ServerId(s.name),
@@ -68,13 +68,15 @@
 
 
 def _play(act: Callable[[_Bench], Awaitable[None]]) -> None:
-    """Plays a house without instances."""
+    """Plays a cluster without instances."""
     environment = simpy.Environment()
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            settings = houses.HouseSettings(instance_count=0, server_count=2)
-            await act(_Bench(houses.House(settings, environment, tasks)))
+            settings = clusters.ClusterSettings(
+                instance_count=0, server_count=2
+            )
+            await act(_Bench(clusters.Cluster(settings, environment, tasks)))
 
     virtual.run(environment, main)
 
@@ -83,9 +85,9 @@
     async def act(bench):
         await bench.grant(0, 1)
         bench.begin_work(0.3)
-        begun_s = bench.house.now_s
+        begun_s = bench.cluster.now_s
         assert isinstance(await bench.release(2), attempts.Released)
-        assert 0.29 < bench.house.now_s - begun_s < 0.31
+        assert 0.29 < bench.cluster.now_s - begun_s < 0.31
 
     _play(act)
 
@@ -94,11 +96,11 @@
     async def act(bench):
         await bench.grant(0, 1)
         bench.begin_work(0.3)
-        begun_s = bench.house.now_s
+        begun_s = bench.cluster.now_s
         with anyio.move_on_after(0.1):
             await bench.release(2)
         assert isinstance(await bench.release(2), attempts.Released)
-        assert bench.house.now_s - begun_s < 0.11
+        assert bench.cluster.now_s - begun_s < 0.11
 
     _play(act)
 
@@ -118,9 +120,9 @@
     async def act(bench):
         await bench.grant(0, 1)
         bench.begin_work(10.0)
-        begun_s = bench.house.now_s
+        begun_s = bench.cluster.now_s
         await bench.release(2)
-        assert 2.4 < bench.house.now_s - begun_s < 2.6
+        assert 2.4 < bench.cluster.now_s - begun_s < 2.6
 
     _play(act)
 
@@ -129,11 +131,11 @@
     async def act(bench):
         await bench.grant(0, 1)
         bench.begin_work(4.0)
-        begun_s = bench.house.now_s
+        begun_s = bench.cluster.now_s
         await anyio.sleep(2.0)
         await bench.grant(0, 1)
         await bench.release(2)
-        assert 3.9 < bench.house.now_s - begun_s < 4.1
+        assert 3.9 < bench.cluster.now_s - begun_s < 4.1
 
     _play(act)
 
@@ -163,7 +165,7 @@
 def test_a_late_grant_counts_from_its_arrival():
     async def act(bench):
         bench.servers[0].lateness = servers_lib.Lateness(grant_ratio=1.0)
-        begun_s = bench.house.now_s
+        begun_s = bench.cluster.now_s
         await _give_up(bench.grant(0, 1))
         assert not bench.servers[0].holds(5)
         await anyio.sleep(1.6)
@@ -218,9 +220,9 @@
         with anyio.move_on_after(0.1):
             await bench.release(2)
         await bench.grant(1, 2)
-        seen = bench.house.fleet.premature
+        seen = bench.cluster.fleet.premature
         assert [(p.server, p.other, p.key) for p in seen] == [("i-1", "i-0", 5)]
-        assert bench.house.fleet.overlaps == []
+        assert bench.cluster.fleet.overlaps == []
 
     _play(act)
 
@@ -231,7 +233,7 @@
         bench.begin_work(0.3)
         await bench.release(2)
         await bench.grant(1, 2)
-        assert bench.house.fleet.premature == []
+        assert bench.cluster.fleet.premature == []
 
     _play(act)
 
@@ -245,14 +247,14 @@
         with anyio.move_on_after(0.1):
             await bench.release(2)
         await bench.grant(1, 2)
-        assert bench.house.fleet.premature == []
+        assert bench.cluster.fleet.premature == []
 
     _play(act)
 
 
 def test_an_order_that_was_held_up_in_transit_does_not_count():
     async def act(bench):
-        network = bench.house.network
+        network = bench.cluster.network
         await bench.grant(0, 1)
         network.cut(_SENDER, bench.servers[1].address)
         async with anyio.create_task_group() as tasks:
@@ -260,19 +262,19 @@
             await anyio.sleep(1.0)
             network.heal()
         assert bench.servers[1].holds(5)
-        assert bench.house.fleet.overlaps == []
+        assert bench.cluster.fleet.overlaps == []
 
     _play(act)
 
 
 def test_a_service_without_keys_is_not_bound_by_leases():
     async def act(bench):
-        house = bench.house
+        cluster = bench.cluster
         address = model.Address("10.3.0.9", 8_609)
-        house.fleet.add("f-9", instances.FREE_SERVICE, address)
-        work = house.fleet.servers[address].work.begin(None, 5.0)
-        begun_s = house.now_s
+        cluster.fleet.add("f-9", instances.FREE_SERVICE, address)
+        work = cluster.fleet.servers[address].work.begin(None, 5.0)
+        begun_s = cluster.now_s
         await work.ended.wait()
-        assert 4.9 < house.now_s - begun_s < 5.1
+        assert 4.9 < cluster.now_s - begun_s < 5.1
 
     _play(act)
--- a/tests/emulated/troubles.py
+++ b/tests/emulated/troubles.py
@@ -1,11 +1,11 @@
-"""Troubles of a house of instances, for tests of when a change is in force."""
+"""Faults of a cluster, for tests of when a change is in force everywhere."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
 
 import anyio
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 
 IN_TOUCH_AFTER_S = 3.0
@@ -13,19 +13,19 @@
 
 
 class Scene:
-    """A house in which something happens."""
+    """A cluster in which something happens."""
 
-    def __init__(self, house: houses.House) -> None:
-        self.house = house
-        self.leader = house.leader
-        self.others = house.others()
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self.cluster = cluster
+        self.leader = cluster.leader
+        self.others = cluster.others()
         # When an instance was last disturbed, for those that ever were.
         self.disturbed_s: dict[instances.EmulatedInstance, float] = {}
 
     def disturb(self, *disturbed: instances.EmulatedInstance) -> None:
         """Notes that instances are disturbed at this moment."""
         for each in disturbed:
-            self.disturbed_s[each] = self.house.now_s
+            self.disturbed_s[each] = self.cluster.now_s
 
 
 async def nothing(scene: Scene) -> None:
@@ -40,8 +40,8 @@
 async def cut_leader_off_log_beside_dead(scene: Scene) -> None:
     """Words to one that says nothing hold up those to the others."""
     dead = scene.others.pop()
-    scene.house.isolate(dead)
-    scene.house.freeze(dead)
+    scene.cluster.isolate(dead)
+    scene.cluster.freeze(dead)
     await anyio.sleep(0.3)
     await cut_leader_off_log(scene)
 
@@ -60,11 +60,11 @@
     scene.leader.kill()
     scene.disturb(scene.leader)
     await anyio.sleep(1.0)
-    scene.house.restart(scene.leader)
+    scene.cluster.restart(scene.leader)
 
 
 async def freeze_leader(scene: Scene) -> None:
-    scene.house.freeze(scene.leader)
+    scene.cluster.freeze(scene.leader)
     scene.disturb(scene.leader)
 
 
@@ -72,13 +72,13 @@
     """What it had written before it stood still comes after that."""
     await freeze_leader(scene)
     await anyio.sleep(1.0)
-    scene.house.thaw(scene.leader)
+    scene.cluster.thaw(scene.leader)
     scene.disturb(scene.leader)
 
 
 async def isolate_leader(scene: Scene) -> None:
     """It reaches the log, but none of the others."""
-    scene.house.isolate(scene.leader)
+    scene.cluster.isolate(scene.leader)
     scene.disturb(scene.leader)
 
 
@@ -87,16 +87,16 @@
     leader = scene.leader.settings.peer_address
     for _ in range(8):
         for other in scene.others:
-            scene.house.network.cut(leader, other.settings.peer_address)
+            scene.cluster.network.cut(leader, other.settings.peer_address)
         await anyio.sleep(0.35)
-        scene.house.network.heal()
+        scene.cluster.network.heal()
         await anyio.sleep(0.01)
 
 
 async def silence_connections(scene: Scene) -> None:
     """All open connections go silent for good."""
-    scene.house.silence()
-    scene.disturb(*scene.house.instances)
+    scene.cluster.silence()
+    scene.disturb(*scene.cluster.instances)
 
 
 async def silence_connections_and_kill_leader(scene: Scene) -> None:
@@ -112,9 +112,9 @@
         other.way.cut()
     scene.leader.way.cut()
     await anyio.sleep(6.0)
-    for each in scene.house.instances:
+    for each in scene.cluster.instances:
         each.way.heal()
-    scene.disturb(*scene.house.instances)
+    scene.disturb(*scene.cluster.instances)
     await anyio.sleep(1.5)
     await kill_leader(scene)
 
@@ -122,26 +122,26 @@
 async def freeze_leader_and_then_the_next(scene: Scene) -> None:
     """The next one stands still once it has claimed."""
     await freeze_leader(scene)
-    while scene.house.leader is scene.leader:
+    while scene.cluster.leader is scene.leader:
         await anyio.sleep(0.01)
-    following = scene.house.leader
-    scene.house.freeze(following)
+    following = scene.cluster.leader
+    scene.cluster.freeze(following)
     scene.disturb(following)
 
 
 async def follow_one_that_claimed_and_stood_still(scene: Scene) -> None:
     """Its first word comes 1 s after it was written."""
     await freeze_leader(scene)
-    while scene.house.leader is scene.leader:
+    while scene.cluster.leader is scene.leader:
         await anyio.sleep(0.0005)
-    following = scene.house.leader
+    following = scene.cluster.leader
     address = following.settings.peer_address
-    for other in scene.house.instances:
-        scene.house.network.cut(address, other.settings.peer_address)
+    for other in scene.cluster.instances:
+        scene.cluster.network.cut(address, other.settings.peer_address)
     scene.disturb(following)
     await anyio.sleep(1.0)
-    scene.house.network.heal()
-    scene.house.freeze(following)
+    scene.cluster.network.heal()
+    scene.cluster.freeze(following)
     scene.disturb(following)
 
 
--- a/tests/load/scene.py
+++ b/tests/load/scene.py
@@ -20,7 +20,7 @@
 
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import virtual
 from bridgecross_entry import attempts
 from bridgecross_entry import dispatch
@@ -331,7 +331,7 @@
     def start_instances(self) -> None:
         """Starts instances that know nothing yet but lists and settings."""
         settings = [
-            houses.make_settings(n) for n in range(self.load.instance_count)
+            clusters.make_settings(n) for n in range(self.load.instance_count)
         ]
         domains: dict[str, list[model.Address]] = {}
         for each in settings:
@@ -350,7 +350,7 @@
             journals.JournalSettings(0.0, 0.0, 0.0),
             self._clock,
         )
-        instance = houses.make_settings(number)
+        instance = clusters.make_settings(number)
         registry = servers.ServerRegistry(
             self.load.judging, instance.bounds, journal, self._clock
         )
