--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_state.py
@@ -296,7 +296,9 @@
         counts[self._servers.topic] = self._list.invalid_records.count
         return counts
 
-    def _invalid_of(self, feed: feeds.Feed) -> invalid_records.InvalidRecords:
+    def _invalid_records_of(
+        self, feed: feeds.Feed
+    ) -> invalid_records.InvalidRecords:
         """Returns the invalid records of a topic."""
         return self._invalid_records[feed.topic]
 
@@ -501,7 +503,7 @@
             try:
                 change = self._decoder.decode_evacuation(record)
             except Exception as error:
-                self._invalid_of(self._configurations).note(
+                self._invalid_records_of(self._configurations).note(
                     "evacuation_unreadable", record.key, error
                 )
                 invalid |= self._domain_of_invalid(record)
@@ -515,7 +517,7 @@
         try:
             change = self._decoder.decode_evacuation(record._replace(value=b""))
         except Exception as error:
-            self._invalid_of(self._configurations).note(
+            self._invalid_records_of(self._configurations).note(
                 "evacuation_unreadable", record.key, error
             )
             return set()
@@ -536,7 +538,7 @@
             try:
                 new = self._decoder.decode_configuration(record)
             except Exception as error:
-                self._invalid_of(self._configurations).note(
+                self._invalid_records_of(self._configurations).note(
                     "configuration_unreadable", record.key, error
                 )
                 self._configuration_is_invalid = True
@@ -598,7 +600,7 @@
             try:
                 key_map = keymap.decode(record.value)
             except Exception as error:
-                self._invalid_of(self._keys).note(
+                self._invalid_records_of(self._keys).note(
                     "key_map_unreadable", record.key, error
                 )
                 continue
@@ -690,7 +692,7 @@
         self, record: logs.KeyedRecord, error: Exception
     ) -> None:
         """Counts and logs an invalid record of the instance topic."""
-        self._invalid_of(self._instances).note(
+        self._invalid_records_of(self._instances).note(
             "instance_unreadable", record.key, error
         )
 
--- a/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/cluster_tasks.py
@@ -370,7 +370,7 @@
         self, service: ids.ServiceName
     ) -> coordinator.Coordinator:
         """Creates a coordinator of a service."""
-        keeper = leases.LeaseManager(
+        lease_manager = leases.LeaseManager(
             service,
             leases.LeaseSettings(),
             self._instance.bounds,
@@ -389,7 +389,7 @@
             self._log,
             cluster_state.KEY_TOPIC,
             self._state.key_follower,
-            keeper,
+            lease_manager,
             self._registry,
             self._table,
             self._view(service),
--- a/libs/bridgecross-entry/src/bridgecross_entry/follower.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/follower.py
@@ -304,7 +304,7 @@
             return
         if not self._is_relayed():
             self.last_relay_s = self._clock.monotonic_s()
-        self._note_lost("the leader has lost it")
+        self._note_lost("the leader cannot read the topic")
 
     def _note_dropped_batch(self, batch: TopicBatch) -> None:
         """Counts a batch with a gap before it, and logs the first in a row."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/leadership.py
@@ -345,8 +345,8 @@
         """Returns how long to wait for instances of a better rank to claim."""
         if self._leader_lost_log and not self._reads_log():
             return self._rank() * self._settings.log_lost_interval_s
-        turn = min(self._rank(), self._settings.claim_intervals_max_count)
-        return turn * self._settings.claim_interval_s
+        intervals = min(self._rank(), self._settings.claim_intervals_max_count)
+        return intervals * self._settings.claim_interval_s
 
     def _rank(self) -> int:
         """Returns how many instances precede this one in the current term."""
--- a/libs/bridgecross-entry/src/bridgecross_entry/servers.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/servers.py
@@ -106,8 +106,8 @@
     # weight: after this time a third is left. The other load on its machine
     # changes several times a second.
     pace_decay_s: float = 0.3
-    # The assumed number of instances until a coordinator has reported it: the
-    # users run 8 to 11.
+    # The assumed number of instances until a coordinator has reported it: users
+    # run 8 to 11.
     first_instance_count: int = 8
 
 
@@ -403,7 +403,7 @@
         known.listed = listed
         self._note_warmup(known)
         if listed.leaving:
-            self._note_leaving(known, "it says that it is leaving")
+            self._note_leaving(known, "it announced that it is leaving")
         elif returned:
             known.leaving_since_s = None
             known.last_known_staying_s = None
@@ -528,7 +528,7 @@
                 )
 
     def may_use(self, server: Server, now_s: float) -> bool:
-        """Whether new requests may be sent to a server at all."""
+        """Whether new requests of any kind may be sent to a server."""
         since_s = server.leaving_since_s
         domain = server.listed.failure_domain
         if server.ended or not self.evacuations.may_serve_keys(domain, now_s):
