--- a/benchmarks/layer_server.py
+++ b/benchmarks/layer_server.py
@@ -11,8 +11,8 @@
 from bridgecross_core import outcomes
 from bridgecross_daemon import _caller_api
 from bridgecross_daemon import _metrics
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import peer_server
-from bridgecross_daemon import peering
 from bridgecross_request import requests
 from bridgecross_settings import check
 from bridgecross_settings import tree
@@ -69,9 +69,11 @@
 class _FixedPeer:
     """A peer that answers drains, and nothing else."""
 
-    async def drain(self, request: peering.DrainRequest) -> peering.DrainReply:
+    async def drain(
+        self, request: peer_protocol.DrainRequest
+    ) -> peer_protocol.DrainReply:
         """Answers at once."""
-        return peering.DrainReply(0)
+        return peer_protocol.DrainReply(0)
 
     def __getattr__(self, name: str) -> Any:
         """Stands in for the methods that are not measured."""
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -19,7 +19,7 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import hybrid_clock
 from bridgecross_daemon import peer_client
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_standins import house_tools
 from bridgecross_standins import processes
 
@@ -114,8 +114,8 @@
         async def call_peer() -> object:
             return await client.call(
                 f"127.0.0.1:{port}",
-                peering.DRAIN,
-                peering.DrainRequest(),
+                peer_protocol.DRAIN,
+                peer_protocol.DrainRequest(),
                 5.0,
             )
 
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -13,8 +13,8 @@
 from bridgecross_core import ids
 from bridgecross_daemon import _platform
 from bridgecross_daemon import peer_client
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import peer_server
-from bridgecross_daemon import peering
 from bridgecross_log import http_service
 from bridgecross_ownership import lease_manager
 from bridgecross_ownership import leases
@@ -169,10 +169,10 @@
     """A coordinator that takes heartbeats, and nothing else."""
 
     async def heartbeat(
-        self, request: peering.Heartbeat
-    ) -> peering.HeartbeatReply:
+        self, request: peer_protocol.Heartbeat
+    ) -> peer_protocol.HeartbeatReply:
         """Answers as a coordinator of one service."""
-        return peering.HeartbeatReply(False, [ids.ServiceName("rapor")])
+        return peer_protocol.HeartbeatReply(False, [ids.ServiceName("rapor")])
 
     def __getattr__(self, name: str) -> object:
         """Stands in for the methods that are not measured."""
@@ -197,7 +197,7 @@
             for _ in range(_EXCHANGES):
                 await client.call(
                     f"127.0.0.1:{relay.port}",
-                    peering.HEARTBEAT,
+                    peer_protocol.HEARTBEAT,
                     _build_heartbeat(servers),
                     5.0,
                 )
@@ -212,7 +212,7 @@
     return found
 
 
-def _build_heartbeat(servers: int) -> peering.Heartbeat:
+def _build_heartbeat(servers: int) -> peer_protocol.Heartbeat:
     """Returns a heartbeat about as many servers as wanted."""
     report = reports.ServiceReport(
         service=ids.ServiceName("rapor"),
@@ -228,4 +228,4 @@
         handed_over=[],
         loads=[reports.SliceLoad(ids.SliceIndex(n), 100) for n in range(10)],
     )
-    return peering.Heartbeat(ids.InstanceId("entry-1"), False, [report])
+    return peer_protocol.Heartbeat(ids.InstanceId("entry-1"), False, [report])
--- a/libs/bridgecross-cli/src/bridgecross_cli/_commands.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/_commands.py
@@ -9,7 +9,7 @@
 from bridgecross_core import codec
 from bridgecross_core import findings
 from bridgecross_core import ids
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_settings import check
 from bridgecross_settings import process
 from bridgecross_settings import tree
@@ -87,8 +87,8 @@
     connection = reach.read_connection(options.connect)
     answers = await reach.call_instances(
         await reach.list_instances(connection),
-        peering.STATUS,
-        peering.StatusRequest(),
+        peer_protocol.STATUS,
+        peer_protocol.StatusRequest(),
     )
     lines = [line for answer in answers for line in _describe_status(answer)]
     _print(options, "\n".join(lines), answers)
@@ -101,8 +101,10 @@
     connection = reach.read_connection(options.connect)
     answers = await reach.call_instances(
         await reach.list_instances(connection),
-        peering.OWNER,
-        peering.OwnerRequest(ids.ServiceName(options.service), options.key),
+        peer_protocol.OWNER,
+        peer_protocol.OwnerRequest(
+            ids.ServiceName(options.service), options.key
+        ),
     )
     lines = [_describe_owner(answer) for answer in answers]
     _print(options, "\n".join(lines), answers)
@@ -120,7 +122,7 @@
         print(f"no instance {name!r}; listed: {known}", file=sys.stderr)
         return EXIT_BAD_INPUT
     answers = await reach.call_instances(
-        {name: listed[name]}, peering.DRAIN, peering.DrainRequest()
+        {name: listed[name]}, peer_protocol.DRAIN, peer_protocol.DrainRequest()
     )
     problem = answers[0].problem
     text = problem or f"{name} stops; {answers[0].reply.in_flight} in flight"
@@ -214,7 +216,7 @@
     """Returns an instance's status as lines."""
     if answer.reply is None:
         return [f"{answer.instance}: {answer.problem}"]
-    status: peering.InstanceStatus = answer.reply
+    status: peer_protocol.InstanceStatus = answer.reply
     state = "; ".join(status.not_ready) or "ready"
     lines = [
         f"{status.instance} ({status.failure_domain}): {state}, "
@@ -237,7 +239,7 @@
     """Returns one instance's view of a key's owner as a line."""
     if answer.reply is None:
         return f"{answer.instance}: {answer.problem}"
-    owner: peering.OwnerReply = answer.reply
+    owner: peer_protocol.OwnerReply = answer.reply
     if not owner.found:
         return f"{answer.instance}: the service is unknown or has no slices"
     prior = f", waits for {', '.join(owner.prior)}" if owner.prior else ""
--- a/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
@@ -9,7 +9,7 @@
 from bridgecross_core import codec
 from bridgecross_core import findings
 from bridgecross_core import ids
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import appender as appenders
 from bridgecross_settings import process
 from bridgecross_settings import tree
@@ -128,7 +128,7 @@
     """Asks all listed instances once."""
     listed = await reach.list_instances(connection)
     answers = await reach.call_instances(
-        listed, peering.STATUS, peering.StatusRequest()
+        listed, peer_protocol.STATUS, peer_protocol.StatusRequest()
     )
     return [
         InForce(
--- a/libs/bridgecross-cli/src/bridgecross_cli/reach.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/reach.py
@@ -18,7 +18,7 @@
 from bridgecross_daemon import control
 from bridgecross_daemon import instance
 from bridgecross_daemon import peer_client
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import appender as appenders
 from bridgecross_log import follower as followers
 from bridgecross_log import http_service
@@ -99,7 +99,7 @@
 
 async def call_instances(
     listed: dict[ids.InstanceId, memberships.Listing],
-    method: peering.Method[Q, A],
+    method: peer_protocol.Method[Q, A],
     request: Q,
 ) -> list[Answer]:
     """Calls a method of several instances at once."""
@@ -111,7 +111,7 @@
         try:
             reply = await client.call(address, method, request, _CALL_TIMEOUT_S)
             answers.append(Answer(name, reply, ""))
-        except peering.PeerUnreachableError as error:
+        except peer_protocol.PeerUnreachableError as error:
             answers.append(Answer(name, None, error.reason))
 
     try:
@@ -140,8 +140,8 @@
     """
     answers = await call_instances(
         await list_instances(connection),
-        peering.TIMELINE,
-        peering.TimelineRequest(),
+        peer_protocol.TIMELINE,
+        peer_protocol.TimelineRequest(),
     )
     merged = render.merge(
         [events.from_wire(wire) for wire in answer.reply.events]
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/__init__.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/__init__.py
@@ -5,7 +5,7 @@
 * ``instance``: puts the parts of an entry instance together.
 * ``ports``: what an instance reaches the outside world through.
 * ``control``: the state that the log's control stream puts in force.
-* ``peering``: what instances and tools say to an instance, over gRPC.
+* ``peer_protocol``: what instances and tools say to an instance, over gRPC.
 * ``peer_client`` and ``peer_server``: the two ends of that.
 """
 
@@ -14,8 +14,8 @@
     "instance",
     "main",
     "peer_client",
+    "peer_protocol",
     "peer_server",
-    "peering",
     "ports",
     "serving",
 ]
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_admin_api.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_admin_api.py
@@ -8,13 +8,13 @@
 from starlette import routing
 
 from bridgecross_daemon import _metrics
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 
 
 class AdminBackend(Protocol):
     """What the application needs of the instance."""
 
-    def describe(self) -> peering.InstanceStatus:
+    def describe(self) -> peer_protocol.InstanceStatus:
         """Returns how the instance is."""
 
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_translate.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_component_settings.py
@@ -10,7 +10,7 @@
 from bridgecross_settings import tree
 
 
-def keeper_settings(
+def lease_manager_settings(
     policy: policies.Policy,
 ) -> lease_manager.LeaseManagerSettings:
     """Returns the settings of the service's keepers."""
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_unanswered.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_failed_request_log.py
@@ -37,7 +37,7 @@
     untold_count: int = 0
 
 
-class UnansweredLog:
+class FailedRequestLog:
     """Tells of requests that were not run, or whose outcome is unknown."""
 
     def __init__(self, instance: ids.InstanceId, clock: clocks.Clock) -> None:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_heartbeats.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_heartbeats.py
@@ -8,7 +8,7 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
 from bridgecross_daemon import _platform
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_ownership import membership as memberships
 
@@ -76,7 +76,9 @@
         client: ports.PeerCaller,
         addresses: _platform.Addresses,
         watcher: PeerWatcher,
-        make_heartbeats: Callable[[], dict[ids.InstanceId, peering.Heartbeat]],
+        make_heartbeats: Callable[
+            [], dict[ids.InstanceId, peer_protocol.Heartbeat]
+        ],
     ) -> None:
         """Sends nothing yet.
 
@@ -104,7 +106,7 @@
                 await anyio.sleep(self.settings.interval_ms / 1_000)
 
     async def _send(
-        self, instance: ids.InstanceId, heartbeat: peering.Heartbeat
+        self, instance: ids.InstanceId, heartbeat: peer_protocol.Heartbeat
     ) -> None:
         """Sends one heartbeat; a failure shows as silence."""
         address = self._addresses.find_peer_address(instance)
@@ -114,11 +116,11 @@
         try:
             reply = await self._client.call(
                 address,
-                peering.HEARTBEAT,
+                peer_protocol.HEARTBEAT,
                 heartbeat,
                 self.settings.interval_ms / 1_000,
             )
-        except peering.PeerUnreachableError:
+        except peer_protocol.PeerUnreachableError:
             return
         finally:
             self._in_flight.discard(instance)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_metrics.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_metrics.py
@@ -6,7 +6,7 @@
 import aioprometheus
 
 from bridgecross_core import outcomes
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 
 _LATENCY_BUCKETS_S = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1, 5]
 _OUTCOME_NAMES = {
@@ -73,7 +73,7 @@
         self._requests.inc({"service": service, "tier": tier, "outcome": name})
         self._latency.observe({"service": service, "tier": tier}, duration_s)
 
-    def render(self, status: peering.InstanceStatus) -> Exposition:
+    def render(self, status: peer_protocol.InstanceStatus) -> Exposition:
         """Returns all metrics, with gauges taken from a status."""
         self._log_age.set({}, status.log_age_ms / 1_000)
         self._in_flight.set({}, status.in_flight)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_news.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_peer_log_reader.py
@@ -17,7 +17,7 @@
 from bridgecross_core import ids
 from bridgecross_daemon import _platform
 from bridgecross_daemon import control
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_ownership import authority as authorities
 
@@ -25,7 +25,7 @@
 _NOTHING = ids.Offset(2**62)
 
 
-class NewsReader:
+class PeerLogReader:
     """Asks other instances; a ``releases.WitnessSource``."""
 
     def __init__(
@@ -70,12 +70,14 @@
         reply = await self._ask(instance, _NOTHING)
         return reply is not None and reply.next_offset > offset
 
-    def answer(self, request: peering.NewsRequest) -> peering.NewsReply:
+    def answer(
+        self, request: peer_protocol.NewsRequest
+    ) -> peer_protocol.NewsReply:
         """Tells another instance what this one has read."""
         if self._state.awaits_snapshot:
-            return peering.NewsReply(self._me, ids.Offset(0), [], None)
+            return peer_protocol.NewsReply(self._me, ids.Offset(0), [], None)
         records = self._state.list_recent(request.from_offset)
-        return peering.NewsReply(
+        return peer_protocol.NewsReply(
             instance=self._me,
             next_offset=self._state.next_offset,
             records=records or [],
@@ -111,7 +113,7 @@
 
     async def _ask(
         self, instance: ids.InstanceId, from_offset: ids.Offset
-    ) -> peering.NewsReply | None:
+    ) -> peer_protocol.NewsReply | None:
         """Returns an instance's news; None unless that very run answers."""
         address = self._addresses.find_peer_address(instance)
         if address is None:
@@ -119,10 +121,10 @@
         try:
             reply = await self._client.call(
                 address,
-                peering.NEWS,
-                peering.NewsRequest(from_offset),
+                peer_protocol.NEWS,
+                peer_protocol.NewsRequest(from_offset),
                 self._interval_s(),
             )
-        except peering.PeerUnreachableError:
+        except peer_protocol.PeerUnreachableError:
             return None
         return reply if reply.instance == instance else None
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_platform.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_platform.py
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        source: ports.ListSource,
+        source: ports.InstanceListSource,
         interval_ms: int,
         membership: memberships.Membership,
     ) -> None:
@@ -46,7 +46,7 @@
         while True:
             try:
                 self._membership.replace(await self._source.read())
-            except ports.ListUnavailableError as error:
+            except ports.InstanceListUnavailableError as error:
                 loguru.logger.debug("instance list: {}", error)
             await anyio.sleep(self._interval_s)
 
@@ -61,13 +61,13 @@
         )
 
     async def read(self) -> list[memberships.Listing]:
-        """Reads the list once; see ``ports.ListSource``."""
+        """Reads the list once; see ``ports.InstanceListSource``."""
         try:
             response = await self._client.get("/instances")
             response.raise_for_status()
             return codec.from_json(response.content, list[memberships.Listing])
         except (httpx.HTTPError, codec.CodecError) as error:
-            raise ports.ListUnavailableError(repr(error)) from error
+            raise ports.InstanceListUnavailableError(repr(error)) from error
 
     async def aclose(self) -> None:
         """Closes the connections."""
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_ends.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_poison_broadcast.py
@@ -12,7 +12,7 @@
 from bridgecross_core import ids
 from bridgecross_core import notifier
 from bridgecross_daemon import _platform
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_request import poison_requests
 
@@ -24,7 +24,7 @@
 gone is off the list by then."""
 
 
-class EndTeller:
+class PoisonBroadcaster:
     """Tells of ends, and hears of them."""
 
     def __init__(
@@ -49,7 +49,7 @@
         self._client = client
         self._addresses = addresses
         self._clock = clock
-        self._news = notifier.Notifier()
+        self._changed = notifier.Notifier()
         # Until when those who lack something are told again.
         self._owed: dict[ids.InstanceId, float] = {}
 
@@ -65,7 +65,7 @@
         until_s = self._clock.monotonic_s() + _AGAIN_FOR_S
         for instance in self._others():
             self._owed[instance] = until_s
-        self._news.notify()
+        self._changed.notify()
 
     def answer(
         self, told: poison_requests.PoisonReport
@@ -84,10 +84,10 @@
             tasks.start_soon(self._ask_first)
             while True:
                 if not self._owed:
-                    await self._news.wait(60.0)
+                    await self._changed.wait(60.0)
                 await self._tell_owed()
                 if self._owed:
-                    await self._news.wait(_AGAIN_INTERVAL_S)
+                    await self._changed.wait(_AGAIN_INTERVAL_S)
 
     async def _ask_first(self) -> None:
         """Asks the others what they know, until one has answered."""
@@ -123,9 +123,9 @@
                 return
             try:
                 reply = await self._client.call(
-                    address, peering.ENDS, told, _CALL_TIMEOUT_S
+                    address, peer_protocol.ENDS, told, _CALL_TIMEOUT_S
                 )
-            except peering.PeerUnreachableError:
+            except peer_protocol.PeerUnreachableError:
                 return
             reached.add(instance)
             self._take(reply)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -9,10 +9,10 @@
 from bridgecross_core import clock as clocks
 from bridgecross_core import ids
 from bridgecross_core import notifier
+from bridgecross_daemon import _component_settings
 from bridgecross_daemon import _platform
-from bridgecross_daemon import _translate
 from bridgecross_daemon import peer_client
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_log import appender as appenders
 from bridgecross_ownership import authority as authorities
@@ -71,31 +71,41 @@
             shared.peer_client, shared.addresses, cell, shared.clock
         )
         self.backend = shared.make_backend(
-            _translate.backend_settings(service.policy)
+            _component_settings.backend_settings(service.policy)
         )
         self.fronts = front_sets.Fronts(
-            _translate.keeper_settings(service.policy), self._keeper_ports()
+            _component_settings.lease_manager_settings(service.policy),
+            self._lease_manager_ports(),
         )
         self.coordinator = coordinators.Coordinator(
-            _translate.coordinator_settings(service.policy),
+            _component_settings.coordinator_settings(service.policy),
             self._coordinator_ports(),
         )
         self.runner = runners.Runner(
-            _translate.runner_settings(service), self._runner_ports()
+            _component_settings.runner_settings(service), self._runner_ports()
         )
         self.router = routing.Router(
-            _translate.retry_settings(service.policy), self._router_ports()
+            _component_settings.retry_settings(service.policy),
+            self._router_ports(),
         )
 
     def replace_settings(self, service: tree.Service) -> None:
         """Puts new settings into force in all parts."""
         self.service = service
         policy = service.policy
-        self.fronts.replace_settings(_translate.keeper_settings(policy))
-        self.coordinator.settings = _translate.coordinator_settings(policy)
-        self.runner.replace_settings(_translate.runner_settings(service))
-        self.router.replace_settings(_translate.retry_settings(policy))
-        self.backend.replace_settings(_translate.backend_settings(policy))
+        self.fronts.replace_settings(
+            _component_settings.lease_manager_settings(policy)
+        )
+        self.coordinator.settings = _component_settings.coordinator_settings(
+            policy
+        )
+        self.runner.replace_settings(
+            _component_settings.runner_settings(service)
+        )
+        self.router.replace_settings(_component_settings.retry_settings(policy))
+        self.backend.replace_settings(
+            _component_settings.backend_settings(policy)
+        )
 
     def notify(self) -> None:
         """Tells that the cell may have changed."""
@@ -110,25 +120,25 @@
 
     async def run_forwarded(
         self, wire: requests.WireRequest
-    ) -> peering.WireOutcome:
+    ) -> peer_protocol.WireOutcome:
         """Runs a request that another instance has forwarded."""
         await self.changed.wait_until(
             lambda: self.cell.head >= wire.head, _CATCH_UP_S
         )
         now_s = self._shared.clock.monotonic_s()
         request = requests.from_wire(wire, now_s)
-        return peering.wrap_outcome(await self.runner.run(request))
+        return peer_protocol.wrap_outcome(await self.runner.run(request))
 
     async def run_inherited(
         self, wire: requests.WireRequest, bequest: releases.Takeover
-    ) -> peering.WireOutcome:
+    ) -> peer_protocol.WireOutcome:
         """Runs a request at the heir of the key's owner."""
         await self.changed.wait_until(
             lambda: self.cell.head >= wire.head, _CATCH_UP_S
         )
         request = requests.from_wire(wire, self._shared.clock.monotonic_s())
         outcome = await self.runner.run_takeover(request, bequest)
-        return peering.wrap_outcome(outcome)
+        return peer_protocol.wrap_outcome(outcome)
 
     def build_report(self) -> reports.ServiceReport:
         """Returns what this instance reports to the coordinator."""
@@ -155,21 +165,21 @@
             loads=loads,
         )
 
-    def describe(self) -> peering.ServiceStatus:
+    def describe(self) -> peer_protocol.ServiceStatus:
         """Returns how this instance sees the service."""
         queues = self.runner.queues
         served: dict[str, int] = {}
         for queue in queues.values():
             for tier, count in queue.served.items():
                 served[tier] = served.get(tier, 0) + count
-        return peering.ServiceStatus(
+        return peer_protocol.ServiceStatus(
             service=self.cell.service,
             term=self.cell.term,
             coordinator=self.cell.coordinator,
             head=self.cell.head,
             slice_count=len(self.cell.slices),
             servers=[
-                peering.ServerStatus(
+                peer_protocol.ServerStatus(
                     server=keeper.server,
                     health=keeper.health.value,
                     busy=queues[keeper.server].busy
@@ -187,7 +197,7 @@
         """Closes the connections to the servers."""
         await self.backend.aclose()
 
-    def _keeper_ports(self) -> lease_manager.LeaseManagerPorts:
+    def _lease_manager_ports(self) -> lease_manager.LeaseManagerPorts:
         """Returns what the keepers work with."""
         shared = self._shared
         return lease_manager.LeaseManagerPorts(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
@@ -25,7 +25,7 @@
     interval_s: int
 
 
-class SnapshotTaker:
+class SnapshotWriter:
     """The task that appends snapshots.
 
     A snapshot is a function of the log's prefix, so a second one by another
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -7,15 +7,15 @@
 from bridgecross_core import hashing
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_daemon import _ends
+from bridgecross_daemon import _failed_request_log
 from bridgecross_daemon import _heartbeats
-from bridgecross_daemon import _news
+from bridgecross_daemon import _peer_log_reader
 from bridgecross_daemon import _platform
+from bridgecross_daemon import _poison_broadcast
 from bridgecross_daemon import _service
 from bridgecross_daemon import _snapshots
-from bridgecross_daemon import _unanswered
 from bridgecross_daemon import control
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_log import appender as appenders
 from bridgecross_log import follower as followers
@@ -111,7 +111,7 @@
             self._me, self._membership, self._clock
         )
         self._peer_client = outside.peers
-        self._news = _news.NewsReader(
+        self._peer_log_reader = _peer_log_reader.PeerLogReader(
             self._me,
             self.control,
             self._authority,
@@ -122,7 +122,7 @@
         self._ledger = poison_requests.PoisonLedger(
             poison_requests.PoisonSettings(), self._clock
         )
-        self._ends = _ends.EndTeller(
+        self._poison_broadcaster = _poison_broadcast.PoisonBroadcaster(
             self._me,
             self._ledger,
             self._peer_client,
@@ -139,7 +139,7 @@
             self._watcher,
             self._make_heartbeats,
         )
-        self._snapshots = _snapshots.SnapshotTaker(
+        self._snapshots = _snapshots.SnapshotWriter(
             _snapshots.SnapshotSettings(
                 settings.snapshot_records, settings.snapshot_interval_s
             ),
@@ -147,7 +147,9 @@
             self._control_appender,
             self._clock,
         )
-        self._unanswered = _unanswered.UnansweredLog(self._me, self._clock)
+        self._failed_requests = _failed_request_log.FailedRequestLog(
+            self._me, self._clock
+        )
         self._services: dict[ids.ServiceName, _service.ServiceParts] = {}
         self._applied_version = ids.NO_OFFSET
         self._in_flight = 0
@@ -172,8 +174,8 @@
             tasks.start_soon(self._list_reader.run)
             tasks.start_soon(self._heartbeats.run)
             tasks.start_soon(self._take_snapshots)
-            tasks.start_soon(self._news.run)
-            tasks.start_soon(self._ends.run)
+            tasks.start_soon(self._peer_log_reader.run)
+            tasks.start_soon(self._poison_broadcaster.run)
             tasks.start_soon(self._start_from_peers)
             await self._stopping.wait()
             await self._drain()
@@ -226,7 +228,7 @@
         """Takes a request to the owner of its key."""
         outcome = await self._services[request.service].router.handle(request)
         if not isinstance(outcome, outcomes.Answered):
-            self._unanswered.note(request, outcome)
+            self._failed_requests.note(request, outcome)
         if isinstance(outcome, outcomes.NotRun):
             self._ring.add(
                 events.RequestRefused(
@@ -251,7 +253,7 @@
 
     async def forward(
         self, request: requests.WireRequest
-    ) -> peering.WireOutcome:
+    ) -> peer_protocol.WireOutcome:
         """Runs a request at the front of its key's owner."""
         parts = self._services.get(request.service)
         if parts is None:
@@ -263,8 +265,8 @@
             self._in_flight -= 1
 
     async def inherit(
-        self, request: peering.InheritRequest
-    ) -> peering.WireOutcome:
+        self, request: peer_protocol.InheritRequest
+    ) -> peer_protocol.WireOutcome:
         """Runs a request at the heir of its key's owner."""
         parts = self._services.get(request.request.service)
         if parts is None:
@@ -276,8 +278,8 @@
             self._in_flight -= 1
 
     async def heartbeat(
-        self, request: peering.Heartbeat
-    ) -> peering.HeartbeatReply:
+        self, request: peer_protocol.Heartbeat
+    ) -> peer_protocol.HeartbeatReply:
         """Takes the report of an instance."""
         self._watcher.note_heard(request.instance, request.leaving)
         self._add_reports(request)
@@ -286,7 +288,7 @@
             for service, parts in self._services.items()
             if parts.cell.coordinator == self._me
         ]
-        return peering.HeartbeatReply(
+        return peer_protocol.HeartbeatReply(
             leaving=self._watcher.me_leaving,
             coordinates=coordinates if self._authority.has_log() else [],
         )
@@ -313,19 +315,23 @@
         self, request: poison_requests.PoisonReport
     ) -> poison_requests.PoisonReport:
         """Takes in which requests servers ended under."""
-        return self._ends.answer(request)
+        return self._poison_broadcaster.answer(request)
 
-    async def news(self, request: peering.NewsRequest) -> peering.NewsReply:
+    async def news(
+        self, request: peer_protocol.NewsRequest
+    ) -> peer_protocol.NewsReply:
         """Tells what the instance has read of the control stream."""
-        return self._news.answer(request)
+        return self._peer_log_reader.answer(request)
 
     async def status(
-        self, request: peering.StatusRequest
-    ) -> peering.InstanceStatus:
+        self, request: peer_protocol.StatusRequest
+    ) -> peer_protocol.InstanceStatus:
         """Tells how the instance is."""
         return self.describe()
 
-    async def owner(self, request: peering.OwnerRequest) -> peering.OwnerReply:
+    async def owner(
+        self, request: peer_protocol.OwnerRequest
+    ) -> peer_protocol.OwnerReply:
         """Tells who owns a key and why."""
         cell = self.control.cells.get(request.service)
         if cell is None or not cell.slices:
@@ -333,7 +339,7 @@
         index = hashing.find_slice(request.key, len(cell.slices))
         state = cell.slices[index]
         front = cell.fronts.get(state.server)
-        return peering.OwnerReply(
+        return peer_protocol.OwnerReply(
             found=True,
             slice=index,
             server=state.server,
@@ -345,26 +351,28 @@
             coordinator=cell.coordinator,
         )
 
-    async def drain(self, request: peering.DrainRequest) -> peering.DrainReply:
+    async def drain(
+        self, request: peer_protocol.DrainRequest
+    ) -> peer_protocol.DrainReply:
         """Begins a planned stop."""
         self.stop()
-        return peering.DrainReply(self._in_flight)
+        return peer_protocol.DrainReply(self._in_flight)
 
     async def timeline(
-        self, request: peering.TimelineRequest
-    ) -> peering.TimelineReply:
+        self, request: peer_protocol.TimelineRequest
+    ) -> peer_protocol.TimelineReply:
         """Tells the events that the instance remembers."""
-        return peering.TimelineReply(
+        return peer_protocol.TimelineReply(
             [events.to_wire(event) for event in self._ring.list_events()]
         )
 
-    def describe(self) -> peering.InstanceStatus:
+    def describe(self) -> peer_protocol.InstanceStatus:
         """Returns how the instance is."""
         age_s = min(self._control_follower.age_s(), 1e9)
         missing = self._list_missing()
         if self._watcher.me_leaving:
             missing.append("the instance is stopping")
-        return peering.InstanceStatus(
+        return peer_protocol.InstanceStatus(
             instance=self._me,
             house=self._settings.house,
             place=self._settings.place,
@@ -378,9 +386,9 @@
             services=[parts.describe() for parts in self._services.values()],
         )
 
-    def _describe_unknown_service(self) -> peering.WireOutcome:
+    def _describe_unknown_service(self) -> peer_protocol.WireOutcome:
         """Returns the outcome of a request whose service is not here yet."""
-        return peering.wrap_outcome(
+        return peer_protocol.wrap_outcome(
             outcomes.NotRun(
                 outcomes.NotRunProof.REFUSED_BY_ADMISSION,
                 f"{self._me} does not know the service yet",
@@ -411,7 +419,7 @@
             self._apply_settings()
         for parts in self._services.values():
             parts.notify()
-        self._news.witnesses = {
+        self._peer_log_reader.witnesses = {
             witness
             for cell in self.control.cells.values()
             for state in cell.fronts.values()
@@ -426,7 +434,7 @@
             if self._control_follower.caught_up.is_set():
                 return
             instances = set(self._membership.list_instances())
-            await self._news.take_news(instances)
+            await self._peer_log_reader.take_news(instances)
             if self.control.settings.house is not None:
                 return
 
@@ -467,16 +475,16 @@
             peer_client=self._peer_client,
             lease_transport=self._leases,
             make_backend=self._outside.make_backend,
-            news=self._news,
+            news=self._peer_log_reader,
             control=self._control_appender,
             intents=self._intent_appender,
             ledger=self._ledger,
-            tell_others=self._ends.tell,
+            tell_others=self._poison_broadcaster.tell,
         )
 
-    def _make_heartbeats(self) -> dict[ids.InstanceId, peering.Heartbeat]:
+    def _make_heartbeats(self) -> dict[ids.InstanceId, peer_protocol.Heartbeat]:
         """Returns the heartbeat for each coordinator but this instance."""
-        by_coordinator: dict[ids.InstanceId, peering.Heartbeat] = {}
+        by_coordinator: dict[ids.InstanceId, peer_protocol.Heartbeat] = {}
         for parts in self._services.values():
             coordinator = parts.cell.coordinator
             report = parts.build_report()
@@ -485,12 +493,14 @@
             elif coordinator != cells.NO_INSTANCE:
                 heartbeat = by_coordinator.setdefault(
                     coordinator,
-                    peering.Heartbeat(self._me, self._watcher.me_leaving, []),
+                    peer_protocol.Heartbeat(
+                        self._me, self._watcher.me_leaving, []
+                    ),
                 )
                 heartbeat.reports.append(report)
         return by_coordinator
 
-    def _add_reports(self, heartbeat: peering.Heartbeat) -> None:
+    def _add_reports(self, heartbeat: peer_protocol.Heartbeat) -> None:
         """Gives each report to the service that it is about."""
         for report in heartbeat.reports:
             parts = self._services.get(report.service)
@@ -550,7 +560,7 @@
         return appenders.Appender(settings, self._log, self._stamps)
 
 
-_NOT_FOUND = peering.OwnerReply(
+_NOT_FOUND = peer_protocol.OwnerReply(
     found=False,
     slice=-1,
     server=cells.NO_SERVER,
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -13,7 +13,7 @@
 from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_daemon import ports
 from bridgecross_ownership import cell as cells
 from bridgecross_ownership import releases
@@ -52,14 +52,14 @@
     async def call(
         self,
         address: str,
-        method: peering.Method[Q, A],
+        method: peer_protocol.Method[Q, A],
         request: Q,
         timeout_s: float,
     ) -> A:
         """Calls a method of an instance.
 
         Raises:
-            peering.PeerUnreachableError: There was no usable reply.
+            peer_protocol.PeerUnreachableError: There was no usable reply.
         """
         channel = self._find_channel(address)
         callable_method: Any = channel.unary_unary(method.path)
@@ -69,12 +69,12 @@
             return method.decode_reply(self._clock, reply)
         except grpc.aio.AioRpcError as error:
             details = error.details() or ""
-            raise peering.PeerUnreachableError(
+            raise peer_protocol.PeerUnreachableError(
                 f"{error.code().name}: {details}",
                 never_sent=_NEVER_SENT_DETAIL in details,
             ) from error
         except codec.CodecError as error:
-            raise peering.PeerUnreachableError(
+            raise peer_protocol.PeerUnreachableError(
                 f"damaged reply: {error}", never_sent=False
             ) from error
 
@@ -113,7 +113,7 @@
     ) -> outcomes.Outcome:
         """Has another instance run a request; see ``routing.Forwarder``."""
         return await self._call(
-            instance, request, peering.FORWARD, lambda wire: wire
+            instance, request, peer_protocol.FORWARD, lambda wire: wire
         )
 
     async def forward_to_backup(
@@ -129,15 +129,15 @@
         return await self._call(
             instance,
             request,
-            peering.INHERIT,
-            lambda wire: peering.InheritRequest(wire, bequest),
+            peer_protocol.INHERIT,
+            lambda wire: peer_protocol.InheritRequest(wire, bequest),
         )
 
     async def _call(
         self,
         instance: ids.InstanceId,
         request: requests.Request,
-        method: peering.Method[Q, peering.WireOutcome],
+        method: peer_protocol.Method[Q, peer_protocol.WireOutcome],
         wrap: Callable[[requests.WireRequest], Q],
     ) -> outcomes.Outcome:
         """Sends a request to another instance and waits for its outcome."""
@@ -154,9 +154,9 @@
             reply = await self._client.call(
                 address, method, wrap(wire), request.deadline_s - now_s
             )
-        except peering.PeerUnreachableError as error:
+        except peer_protocol.PeerUnreachableError as error:
             return _describe_failure(instance, error)
-        return peering.unwrap_outcome(reply)
+        return peer_protocol.unwrap_outcome(reply)
 
 
 class PeerReleaseSource:
@@ -178,9 +178,9 @@
             return releases.ReleaseReply([])
         try:
             return await self._client.call(
-                address, peering.AWAIT_RELEASE, query, _RELEASE_TIMEOUT_S
+                address, peer_protocol.AWAIT_RELEASE, query, _RELEASE_TIMEOUT_S
             )
-        except peering.PeerUnreachableError:
+        except peer_protocol.PeerUnreachableError:
             return releases.ReleaseReply([])
 
     async def is_front_drained(
@@ -192,15 +192,15 @@
             return False
         try:
             reply = await self._client.call(
-                address, peering.OFFICE, query, _RELEASE_TIMEOUT_S
+                address, peer_protocol.OFFICE, query, _RELEASE_TIMEOUT_S
             )
-        except peering.PeerUnreachableError:
+        except peer_protocol.PeerUnreachableError:
             return False
         return reply.instance == front and reply.is_drained
 
 
 def _describe_failure(
-    instance: ids.InstanceId, error: peering.PeerUnreachableError
+    instance: ids.InstanceId, error: peer_protocol.PeerUnreachableError
 ) -> outcomes.Outcome:
     """Returns the outcome of a request whose front did not answer."""
     reason = f"the front {instance} did not answer: {error.reason}"
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -11,7 +11,7 @@
 
 from bridgecross_core import codec
 from bridgecross_core import hybrid_clock
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_ownership import releases
 from bridgecross_request import poison_requests
 from bridgecross_request import requests
@@ -31,17 +31,17 @@
 
     async def forward(
         self, request: requests.WireRequest
-    ) -> peering.WireOutcome:
+    ) -> peer_protocol.WireOutcome:
         """Runs a request at the front of its key's owner."""
 
     async def inherit(
-        self, request: peering.InheritRequest
-    ) -> peering.WireOutcome:
+        self, request: peer_protocol.InheritRequest
+    ) -> peer_protocol.WireOutcome:
         """Runs a request at the heir of its key's owner."""
 
     async def heartbeat(
-        self, request: peering.Heartbeat
-    ) -> peering.HeartbeatReply:
+        self, request: peer_protocol.Heartbeat
+    ) -> peer_protocol.HeartbeatReply:
         """Takes the report of an instance."""
 
     async def await_release(
@@ -54,7 +54,9 @@
     ) -> releases.FrontDrainedReply:
         """Tells whether all is over that this one did as a front."""
 
-    async def news(self, request: peering.NewsRequest) -> peering.NewsReply:
+    async def news(
+        self, request: peer_protocol.NewsRequest
+    ) -> peer_protocol.NewsReply:
         """Tells what the instance has read of the control stream."""
 
     async def ends(
@@ -63,19 +65,23 @@
         """Takes in which requests servers ended under."""
 
     async def status(
-        self, request: peering.StatusRequest
-    ) -> peering.InstanceStatus:
+        self, request: peer_protocol.StatusRequest
+    ) -> peer_protocol.InstanceStatus:
         """Tells how the instance is."""
 
-    async def owner(self, request: peering.OwnerRequest) -> peering.OwnerReply:
+    async def owner(
+        self, request: peer_protocol.OwnerRequest
+    ) -> peer_protocol.OwnerReply:
         """Tells who owns a key and why."""
 
-    async def drain(self, request: peering.DrainRequest) -> peering.DrainReply:
+    async def drain(
+        self, request: peer_protocol.DrainRequest
+    ) -> peer_protocol.DrainReply:
         """Begins a planned stop."""
 
     async def timeline(
-        self, request: peering.TimelineRequest
-    ) -> peering.TimelineReply:
+        self, request: peer_protocol.TimelineRequest
+    ) -> peer_protocol.TimelineReply:
         """Tells the events that the instance remembers."""
 
 
@@ -98,22 +104,31 @@
         self._server.add_generic_rpc_handlers(
             (
                 grpc.method_handlers_generic_handler(
-                    peering.SERVICE_NAME,
+                    peer_protocol.SERVICE_NAME,
                     dict(
                         [
-                            self._handle(peering.FORWARD, service.forward),
-                            self._handle(peering.INHERIT, service.inherit),
-                            self._handle(peering.HEARTBEAT, service.heartbeat),
                             self._handle(
-                                peering.AWAIT_RELEASE, service.await_release
+                                peer_protocol.FORWARD, service.forward
+                            ),
+                            self._handle(
+                                peer_protocol.INHERIT, service.inherit
+                            ),
+                            self._handle(
+                                peer_protocol.HEARTBEAT, service.heartbeat
+                            ),
+                            self._handle(
+                                peer_protocol.AWAIT_RELEASE,
+                                service.await_release,
+                            ),
+                            self._handle(peer_protocol.OFFICE, service.office),
+                            self._handle(peer_protocol.NEWS, service.news),
+                            self._handle(peer_protocol.ENDS, service.ends),
+                            self._handle(peer_protocol.STATUS, service.status),
+                            self._handle(peer_protocol.OWNER, service.owner),
+                            self._handle(peer_protocol.DRAIN, service.drain),
+                            self._handle(
+                                peer_protocol.TIMELINE, service.timeline
                             ),
-                            self._handle(peering.OFFICE, service.office),
-                            self._handle(peering.NEWS, service.news),
-                            self._handle(peering.ENDS, service.ends),
-                            self._handle(peering.STATUS, service.status),
-                            self._handle(peering.OWNER, service.owner),
-                            self._handle(peering.DRAIN, service.drain),
-                            self._handle(peering.TIMELINE, service.timeline),
                         ]
                     ),
                 ),
@@ -131,7 +146,7 @@
 
     def _handle(
         self,
-        method: peering.Method[Q, A],
+        method: peer_protocol.Method[Q, A],
         answer: Callable[[Q], Awaitable[A]],
     ) -> tuple[str, Any]:
         """Returns the gRPC handler of a method under its name."""
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
@@ -11,7 +11,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import hybrid_clock
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import service as log_service
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership as memberships
@@ -22,18 +22,18 @@
 A = TypeVar("A")
 
 
-class ListUnavailableError(Exception):
+class InstanceListUnavailableError(Exception):
     """The instance list could not be read."""
 
 
-class ListSource(Protocol):
+class InstanceListSource(Protocol):
     """The platform's instance list."""
 
     async def read(self) -> list[memberships.Listing]:
         """Returns the list as the platform has it now.
 
         Raises:
-            ListUnavailableError: It did not answer.
+            InstanceListUnavailableError: It did not answer.
         """
 
 
@@ -43,14 +43,14 @@
     async def call(
         self,
         address: str,
-        method: peering.Method[Q, A],
+        method: peer_protocol.Method[Q, A],
         request: Q,
         timeout_s: float,
     ) -> A:
         """Calls a method of an instance.
 
         Raises:
-            peering.PeerUnreachableError: There was no usable reply.
+            peer_protocol.PeerUnreachableError: There was no usable reply.
         """
 
 
@@ -74,7 +74,7 @@
     clock: clocks.Clock
     stamps: hybrid_clock.HybridClock
     log: log_service.LogService
-    listing: ListSource
+    listing: InstanceListSource
     peers: PeerCaller
     make_leases: Callable[[runners.AddressBook], leases.LeaseTransport]
     make_backend: Callable[[backends.BackendSettings], ServiceBackend]
--- a/libs/bridgecross-daemon/tests/test_unanswered.py
+++ b/libs/bridgecross-daemon/tests/test_failed_request_log.py
@@ -3,7 +3,7 @@
 
 from bridgecross_core import ids
 from bridgecross_core import outcomes
-from bridgecross_daemon import _unanswered
+from bridgecross_daemon import _failed_request_log
 from bridgecross_request import requests
 
 UNKNOWN = outcomes.Unknown("the server did not answer")
@@ -47,7 +47,9 @@
 
 
 def test_a_line_names_the_request_its_outcome_and_the_reason(lines):
-    log = _unanswered.UnansweredLog(ids.InstanceId("entry-1"), Clock())
+    log = _failed_request_log.FailedRequestLog(
+        ids.InstanceId("entry-1"), Clock()
+    )
     log.note(_request(1), UNKNOWN)
     assert lines == [
         "entry-1: id-1 rapor/k Unknown: the server did not answer; "
@@ -57,7 +59,7 @@
 
 def test_many_alike_are_one_line_a_second_and_counted(lines):
     clock = Clock()
-    log = _unanswered.UnansweredLog(ids.InstanceId("entry-1"), clock)
+    log = _failed_request_log.FailedRequestLog(ids.InstanceId("entry-1"), clock)
     for number in range(50):
         log.note(_request(number), UNKNOWN)
     log.note(_request(50), NOT_RUN)
@@ -70,7 +72,7 @@
 
 def test_reasons_without_end_take_no_memory_without_end(lines):
     clock = Clock()
-    log = _unanswered.UnansweredLog(ids.InstanceId("entry-1"), clock)
+    log = _failed_request_log.FailedRequestLog(ids.InstanceId("entry-1"), clock)
     for number in range(1_000):
         clock.now_s += 0.1
         log.note(_request(number), outcomes.Unknown(f"reason {number}"))
--- a/libs/bridgecross-daemon/tests/test_news.py
+++ b/libs/bridgecross-daemon/tests/test_peer_log_reader.py
@@ -8,10 +8,10 @@
 from bridgecross_core import codec
 from bridgecross_core import hybrid_clock
 from bridgecross_core import ids
-from bridgecross_daemon import _news
+from bridgecross_daemon import _peer_log_reader
 from bridgecross_daemon import _platform
 from bridgecross_daemon import control
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import records as log_records
 from bridgecross_log import service as log_service
 from bridgecross_ownership import authority as authorities
@@ -40,13 +40,13 @@
     """Carries questions for news; a ``ports.PeerCaller``."""
 
     def __init__(self) -> None:
-        self.readers: dict[str, _news.NewsReader] = {}
+        self.readers: dict[str, _peer_log_reader.PeerLogReader] = {}
         self.asked: list[str] = []
 
     async def call(self, address, method, request, timeout_s):
         self.asked.append(address)
         if address not in self.readers:
-            raise peering.PeerUnreachableError("gone", never_sent=True)
+            raise peer_protocol.PeerUnreachableError("gone", never_sent=True)
         return self.readers[address].answer(request)
 
 
@@ -90,7 +90,7 @@
             for each in "abcd"
         ]
     )
-    peers.readers[name] = _news.NewsReader(
+    peers.readers[name] = _peer_log_reader.PeerLogReader(
         ids.InstanceId(name),
         state,
         authorities.Authority(SETTINGS, _LogNews(fresh_at_s), clock),
@@ -101,7 +101,7 @@
     return state
 
 
-async def _run(reader: _news.NewsReader) -> None:
+async def _run(reader: _peer_log_reader.PeerLogReader) -> None:
     with anyio.move_on_after(0.3):
         await reader.run()
 
--- a/libs/bridgecross-standins/src/bridgecross_standins/house_tools.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/house_tools.py
@@ -8,7 +8,7 @@
 from bridgecross_cli import publishing
 from bridgecross_cli import reach
 from bridgecross_core import ids
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_ownership import cell as cells
 from bridgecross_settings import process
 from bridgecross_standins import processes
@@ -57,13 +57,13 @@
 
 async def read_statuses(
     house: processes.House,
-) -> dict[ids.InstanceId, peering.InstanceStatus]:
+) -> dict[ids.InstanceId, peer_protocol.InstanceStatus]:
     """Returns how the instances that answer are."""
     connection = read_connection(house)
     answers = await reach.call_instances(
         await reach.list_instances(connection),
-        peering.STATUS,
-        peering.StatusRequest(),
+        peer_protocol.STATUS,
+        peer_protocol.StatusRequest(),
     )
     return {a.instance: a.reply for a in answers if a.reply is not None}
 
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -14,7 +14,7 @@
 from bridgecross_core import ids
 from bridgecross_core import notifier
 from bridgecross_core import outcomes
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import records as log_records
 from bridgecross_log import service as log_service
 from bridgecross_ownership import leases
@@ -182,14 +182,14 @@
 
 
 class ListConnection:
-    """A ``ports.ListSource`` for one instance."""
+    """A ``ports.InstanceListSource`` for one instance."""
 
     def __init__(self, listing: FakeList, link: Link) -> None:
         self._listing = listing
         self._link = link
 
     async def read(self) -> list[membership.Listing]:
-        """Reads the list; see ``ports.ListSource``."""
+        """Reads the list; see ``ports.InstanceListSource``."""
         await self._link.gate()
         await anyio.sleep(LATENCY_S)
         return self._listing.show()
@@ -216,7 +216,7 @@
     async def call(
         self,
         address: str,
-        method: peering.Method[Any, Any],
+        method: peer_protocol.Method[Any, Any],
         request: Any,
         timeout_s: float,
     ) -> Any:
@@ -224,7 +224,7 @@
         await self._link.gate()
         link, node = self._peers.nodes[address]
         if link.lost:
-            raise peering.PeerUnreachableError("gone", never_sent=True)
+            raise peer_protocol.PeerUnreachableError("gone", never_sent=True)
         reply = None
         with anyio.move_on_after(timeout_s):
             await anyio.sleep(LATENCY_S)
@@ -237,7 +237,9 @@
                 await anyio.sleep_forever()
         await self._link.gate()
         if reply is None or not (link.peers and self._link.peers):
-            raise peering.PeerUnreachableError("timeout", never_sent=False)
+            raise peer_protocol.PeerUnreachableError(
+                "timeout", never_sent=False
+            )
         return reply
 
 
