--- a/libs/bridgecross-entry/tests/entry_fakes.py
+++ b/libs/bridgecross-entry/tests/entry_fakes.py
@@ -1,4 +1,4 @@
-"""A log and servers in memory, for tests of decisions."""
+"""In-memory fakes of the platform's log and of servers."""
 
 import collections
 import dataclasses
@@ -26,34 +26,34 @@
 
 
 class MemoryLog:
-    """A ``log.PlatformLog`` of one process."""
+    """A ``log.PlatformLog`` that keeps its records in memory."""
 
     def __init__(self) -> None:
         self.records: dict[str, list[log.KeyedRecord]]
         self.records = collections.defaultdict(list)
-        self.away = False
-        # Topics that are away while others are there.
-        self.away_topics: set[str] = set()
-        # The first offset that is kept of a topic whose history was forgotten.
+        self.unavailable = False
+        # Topics that are unavailable while the others are available.
+        self.unavailable_topics: set[str] = set()
+        # The first available offset of a topic whose history was dropped.
         self.first: dict[str, int] = {}
-        # Set while a call for the newest records may be answered.
+        # Set while calls for the newest records are answered.
         self.may_answer_newest = anyio.Event()
         self.may_answer_newest.set()
-        # Whether the next append is done without an answer.
+        # Whether the next append is executed but its answer is lost.
         self.lose_answer = False
 
     async def read_newest(self, topic):
         await self.may_answer_newest.wait()
-        if self.away or topic in self.away_topics:
+        if self.unavailable or topic in self.unavailable_topics:
             return log.Unreachable("away")
         newest = {record.key: record for record in self.records[topic]}
-        # A key without a value is dropped.
+        # An empty value deletes its key.
         records = tuple(record for record in newest.values() if record.value)
         return log.Newest(records, len(self.records[topic]))
 
     async def read(self, topic, offset, wait_ms):
         await anyio.lowlevel.checkpoint()
-        if self.away or topic in self.away_topics:
+        if self.unavailable or topic in self.unavailable_topics:
             return log.Unreachable("away")
         if offset < self.first.get(topic, 0):
             return log.Forgotten()
@@ -62,7 +62,7 @@
         return log.Batch(records, end, end)
 
     async def append(self, topic, record, expected_end):
-        if self.away:
+        if self.unavailable:
             return log.Unreachable("away")
         end = len(self.records[topic])
         if end != expected_end:
@@ -74,7 +74,7 @@
         return log.Appended(end)
 
     async def put(self, topic, record):
-        if self.away:
+        if self.unavailable:
             return False
         self.records[topic].append(record)
         return True
@@ -85,40 +85,40 @@
 
 
 class PartialLog(MemoryLog):
-    """One instance's way to a log, which may turn it away, topic by topic."""
+    """One instance's connection to a shared log, which may fail by topic."""
 
     def __init__(self, shared: MemoryLog) -> None:
         super().__init__()
         self.records = shared.records
         self.first = shared.first
-        # Answers that are held back until they are let go.
-        self.held: list[anyio.Event] = []
-        self.holds = False
+        # The events that held answers wait for.
+        self.held_answers: list[anyio.Event] = []
+        self.holds_answers = False
 
-    def let_all_go(self) -> None:
-        self.holds = False
-        for gate in self.held:
+    def release_all(self) -> None:
+        self.holds_answers = False
+        for gate in self.held_answers:
             gate.set()
 
-    async def _hold(self):
-        if self.holds:
+    async def _wait_if_held(self):
+        if self.holds_answers:
             gate = anyio.Event()
-            self.held.append(gate)
+            self.held_answers.append(gate)
             await gate.wait()
 
     async def read_newest(self, topic):
         answer = await super().read_newest(topic)
-        await self._hold()
+        await self._wait_if_held()
         return answer
 
     async def read(self, topic, offset, wait_ms):
         answer = await super().read(topic, offset, wait_ms)
-        await self._hold()
+        await self._wait_if_held()
         return answer
 
 
 class Grant:
-    """A range that a server was given."""
+    """A lease of a key range."""
 
     def __init__(self, server, first, last, token, until_s) -> None:
         self.server = server
@@ -129,16 +129,16 @@
 
 
 class LeaseServers:
-    """An ``attempts.LeaseClient`` that keeps who holds what."""
+    """An ``attempts.LeaseClient`` that records the leases of all servers."""
 
     def __init__(self) -> None:
         self.grants: list[Grant] = []
         self.orders: list[tuple[str, str, int, int, int]] = []
         self.overlaps: list[str] = []
-        # Servers that say nothing, and those whose process has ended.
+        # Servers that do not answer, and those whose process has ended.
         self.silent: set[str] = set()
         self.ended: set[str] = set()
-        # Those at whose address another run answers.
+        # Servers whose address now belongs to another run.
         self.replaced: set[str] = set()
         self.fences: dict[str, int] = collections.defaultdict(lambda: -1)
 
@@ -201,11 +201,11 @@
         return
 
     def restart(self, name: str) -> None:
-        """Starts a server again; it holds and knows nothing of before."""
+        """Restarts a server, which loses its leases and its state."""
         self.grants = [g for g in self.grants if g.server != name]
 
     def holder(self, key: int) -> str | None:
-        """Returns who holds a key at this moment."""
+        """Returns the server that currently holds a key."""
         now_s = time.monotonic()
         for grant in self.grants:
             if grant.first <= key <= grant.last and grant.until_s > now_s:
@@ -214,11 +214,11 @@
 
 
 class Lead:
-    """The right to give orders, which a test may take away."""
+    """The permission to send orders, which a test may revoke."""
 
     def __init__(self) -> None:
         self.may_order = True
-        # Long ago: no earlier leader gives orders any more.
+        # In the past, so that no earlier leader sends orders any more.
         self.majority_known_s = float("-inf")
         self.known_to_all_s = float("-inf")
 
@@ -241,8 +241,8 @@
 )
 
 
-class Bench:
-    """One coordinator with its surroundings."""
+class CoordinatorHarness:
+    """One coordinator with the parts that it needs."""
 
     def __init__(
         self,
@@ -307,7 +307,7 @@
         return
 
 
-async def until(condition, timeout_s: float = 3.0) -> None:
+async def wait_until(condition, timeout_s: float = 3.0) -> None:
     """Waits until a condition holds."""
     with anyio.fail_after(timeout_s):
         while not condition():
--- a/libs/bridgecross-entry/tests/entry_support.py
+++ b/libs/bridgecross-entry/tests/entry_support.py
@@ -1,4 +1,4 @@
-"""What the tests of this library share."""
+"""Fixtures and factories shared by the tests of this library."""
 
 import os
 
@@ -8,7 +8,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told."""
+    """A clock that a test advances explicitly."""
 
     def __init__(self) -> None:
         self.now_s = 1_000.0
@@ -44,15 +44,15 @@
 )
 
 
-_NOWHERE = os.open(os.devnull, os.O_WRONLY)
-"""Opened once: tests make thousands of journals, and a process has so many
-descriptors."""
+_DEV_NULL = os.open(os.devnull, os.O_WRONLY)
+"""Opened only once: tests create thousands of journals, which would exceed the
+limit of open file descriptors."""
 
 
 def make_journal(clock: ManualClock) -> journal.Journal:
-    """Returns a journal that nobody reads."""
+    """Returns a journal that discards its lines."""
     return journal.Journal(
-        "entry-1", journal.JournalSettings(), clock, _NOWHERE
+        "entry-1", journal.JournalSettings(), clock, _DEV_NULL
     )
 
 
@@ -65,7 +65,7 @@
     port: int = 9,
     started_ms: int | None = None,
 ) -> model.BackendServer:
-    """Returns a listed server."""
+    """Returns a backend server as the platform lists it."""
     return model.BackendServer(
         model.name_run(name, started_ms),
         ids.ServiceName(service),
@@ -108,7 +108,7 @@
 def make_configuration(
     *routes: model.Route, version: int = 1, keyed: bool = False
 ) -> model.Configuration:
-    """Returns a configuration whose services are those of the routes."""
+    """Returns a configuration with the services of the given routes."""
     names = {share.service for route in routes for share in route.shares}
     services = {n: model.Service(n, 130, keyed, 0) for n in names}
     limits = model.CallerLimits(16_384, 65_536, 3_000, 15_000)
--- a/libs/bridgecross-entry/tests/test_cluster_state.py
+++ b/libs/bridgecross-entry/tests/test_cluster_state.py
@@ -178,7 +178,7 @@
     platform_log,
 ):
     reader, receiver, relay = await _make_pair(platform_log)
-    platform_log.away = True
+    platform_log.unavailable = True
     await reader.read()
     relay.send(receiver)
     followers = [feed.follower for feed in receiver.state._feeds]
@@ -360,7 +360,7 @@
 ):
     reader, receiver, relay = await _make_pair(platform_log)
     relay.send(receiver)
-    platform_log.away_topics.add("configuration")
+    platform_log.unavailable_topics.add("configuration")
     await reader.read()
     relay.send(receiver)
     waiting = {
@@ -404,12 +404,12 @@
     shared, (leader, receiver, _) = await _make_three()
     relay = cluster_state_support.Relay(leader)
     relay.send(receiver)
-    leader.state._log.away_topics = {"configuration"}
+    leader.state._log.unavailable_topics = {"configuration"}
     await leader.read()
     relay.send(receiver)
-    receiver.state._log.away_topics = {"configuration"}
+    receiver.state._log.unavailable_topics = {"configuration"}
     await receiver.read()
-    receiver.state._log.away_topics = set()
+    receiver.state._log.unavailable_topics = set()
     _add(shared, "configuration", "config", b"2")
     mine = receiver.state._configurations.follower
     for _ in range(10):
@@ -424,10 +424,10 @@
 
 async def test_an_instance_that_starts_without_the_log_becomes_ready_by_relay():
     shared, (leader, _, _) = await _make_three()
-    leader.state._log.away_topics = set(dict(leader.state.offsets()))
+    leader.state._log.unavailable_topics = set(dict(leader.state.offsets()))
     await leader.read()
     mine = fakes.PartialLog(shared)
-    mine.away = True
+    mine.unavailable = True
     starting = cluster_state_support.Reader(mine)
     await starting.read()
     cluster_state_support.Relay(leader).send(starting)
@@ -461,7 +461,7 @@
     _add(shared, "servers", "b", b"rapor")
     _add(shared, "servers", "a", b"bad")
     for away in (set(), {"servers"}, set()):
-        reader.state._log.away_topics = away
+        reader.state._log.unavailable_topics = away
         await reader.read()
         assert set(reader.state._list.listed) == {"b"}
         assert reader.state.invalid_record_counts()["servers"] >= 1
--- a/libs/bridgecross-entry/tests/test_cluster_tasks.py
+++ b/libs/bridgecross-entry/tests/test_cluster_tasks.py
@@ -79,21 +79,23 @@
         scene.reader.state.start(tasks)
         scene.cluster_tasks.start(tasks)
         listed = platform_log.records[cluster_state.INSTANCE_TOPIC]
-        await fakes.until(lambda: listed, 0.25)
+        await fakes.wait_until(lambda: listed, 0.25)
         tasks.cancel_scope.cancel()
 
 
 async def test_keys_are_assigned_though_the_server_list_is_read_last(
     platform_log,
 ):
-    platform_log.away_topics.add("servers")
+    platform_log.unavailable_topics.add("servers")
     scene = Scene(platform_log)
     async with anyio.create_task_group() as tasks:
         scene.reader.state.start(tasks)
         scene.cluster_tasks.start(tasks)
         # It leads and knows the configuration before it knows any server.
-        await fakes.until(lambda: scene.cluster_tasks._leadership.is_leader, 5)
+        await fakes.wait_until(
+            lambda: scene.cluster_tasks._leadership.is_leader, 5
+        )
         assert scene.cluster_tasks.coordinated_count == 0
-        platform_log.away_topics.clear()
-        await fakes.until(lambda: scene.lease_servers.holder(5) == "a", 6)
+        platform_log.unavailable_topics.clear()
+        await fakes.wait_until(lambda: scene.lease_servers.holder(5) == "a", 6)
         tasks.cancel_scope.cancel()
--- a/libs/bridgecross-entry/tests/test_coordinator.py
+++ b/libs/bridgecross-entry/tests/test_coordinator.py
@@ -20,7 +20,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _running(*benches: fakes.Bench):
+async def _running(*benches: fakes.CoordinatorHarness):
     async with anyio.create_task_group() as tasks:
         for bench in benches:
             tasks.start_soon(bench.follower.run)
@@ -31,10 +31,10 @@
 
 def _make(
     *names: str,
-) -> tuple[fakes.MemoryLog, fakes.LeaseServers, fakes.Bench]:
+) -> tuple[fakes.MemoryLog, fakes.LeaseServers, fakes.CoordinatorHarness]:
     platform_log = fakes.MemoryLog()
     lease_servers = fakes.LeaseServers()
-    bench = fakes.Bench(platform_log, lease_servers)
+    bench = fakes.CoordinatorHarness(platform_log, lease_servers)
     for name in names:
         bench.book.put(support.make_server(name))
     return platform_log, lease_servers, bench
@@ -43,7 +43,7 @@
 async def test_all_keys_are_granted_and_stay_granted():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY))
+        await fakes.wait_until(lambda: lease_servers.holder(KEY))
         await anyio.sleep(0.5)
         assert lease_servers.holder(KEY) == "a"
         assert lease_servers.holder(keymap.LAST_KEY) == "b"
@@ -53,19 +53,19 @@
 async def test_a_leaving_server_hands_its_keys_over():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         bench.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
 async def test_a_server_whose_answers_say_it_leaves_hands_its_keys_over():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         leaving = attempts.Notice(is_leaving=True)
         bench.book.notices.record(support.make_server("a"), leaving)
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
@@ -73,43 +73,43 @@
     """A release proves nothing yet, and a leaving server still serves."""
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         bench.lead.majority_known_s = time.monotonic()
         bench.lead.known_to_all_s = float("inf")
         bench.book.put(support.make_server("a", leaving=True))
         await anyio.sleep(0.15)
         assert lease_servers.holder(KEY) == "a"
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
 async def test_keys_of_a_server_replaced_by_another_run_move_at_once():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.replaced.add("a")
         lease_servers.grants = [
             g for g in lease_servers.grants if g.server != "a"
         ]
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b", 0.19)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b", 0.19)
 
 
 async def test_keys_of_a_server_that_refuses_wait_for_its_lease():
     """It may still be working although it accepts no connections."""
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.ended.add("a")
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
 async def test_keys_of_a_silent_server_wait_for_its_lease():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("a")
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
@@ -117,18 +117,18 @@
     """A coordinator with an old list took an unknown owner for terminated."""
     platform_log, lease_servers, first = _make("a", "b")
     async with _running(first):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-    second = fakes.Bench(platform_log, lease_servers, "entry-2")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
+    second = fakes.CoordinatorHarness(platform_log, lease_servers, "entry-2")
     second.book.put(support.make_server("b"))
     async with _running(second):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
 async def test_nothing_moves_while_the_server_list_is_out_of_date():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         bench.list_is_fresh = False
         bench.book.remove(ids.ServerId("a"), log_was_unavailable=False)
         await anyio.sleep(0.4)
@@ -138,22 +138,22 @@
 async def test_ranges_stay_held_while_the_log_is_unavailable():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        platform_log.away = True
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
+        platform_log.unavailable = True
         await anyio.sleep(0.6)
         assert lease_servers.holder(KEY) == "a"
 
 
 async def test_two_coordinators_never_make_two_owners():
     platform_log, lease_servers, first = _make("a", "b", "c")
-    second = fakes.Bench(platform_log, lease_servers, "entry-2")
+    second = fakes.CoordinatorHarness(platform_log, lease_servers, "entry-2")
     for name in "abc":
         second.book.put(support.make_server(name))
     async with _running(first, second):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         for bench in (first, second):
             bench.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) in {"b", "c"})
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) in {"b", "c"})
         await anyio.sleep(0.3)
     assert not lease_servers.overlaps
 
@@ -161,17 +161,17 @@
 async def test_an_append_whose_answer_is_lost_is_recognized():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         platform_log.lose_answer = True
         bench.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
 async def test_a_hot_range_is_split_without_two_owners():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         deadline_s = time.monotonic() + 2.0
         while lease_servers.holder(1_199) == lease_servers.holder(1_000):
             assert time.monotonic() < deadline_s
@@ -185,9 +185,9 @@
 async def test_tokens_rise_with_each_owner_of_a_key():
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         bench.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     grants = [
         o for o in lease_servers.orders if o[0] == "grant" and o[2] <= KEY
     ]
@@ -203,7 +203,7 @@
             return log.Forgotten()
 
     platform_log = ForgetfulLog()
-    bench = fakes.Bench(platform_log, fakes.LeaseServers())
+    bench = fakes.CoordinatorHarness(platform_log, fakes.LeaseServers())
     for _ in range(3):
         platform_log.records[fakes.TOPIC].append(
             log.KeyedRecord(
@@ -232,7 +232,7 @@
 async def test_completed_moves_are_recorded_in_the_log():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         bench.book.put(support.make_server("a", leaving=True))
 
         def is_written() -> bool:
@@ -240,7 +240,7 @@
             moved = all(r.owner == "b" for r in newest.ranges)
             return moved and not any(r.prior_owner for r in newest.ranges)
 
-        await fakes.until(is_written)
+        await fakes.wait_until(is_written)
 
 
 async def test_a_coordinator_builds_on_a_map_that_it_had_not_received():
@@ -250,18 +250,20 @@
     """
     platform_log, lease_servers, first = _make("a", "b")
     async with _running(first):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        second = fakes.Bench(platform_log, lease_servers, "entry-2")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
+        second = fakes.CoordinatorHarness(
+            platform_log, lease_servers, "entry-2"
+        )
         for name in "ab":
             second.book.put(support.make_server(name))
         await second.follower.catch_up()
         first.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
         second.follower.next_offset = first.follower.next_offset
     seen = first.table.newest(fakes.SERVICE)
     assert seen is not None
     async with _running(second):
-        await fakes.until(
+        await fakes.wait_until(
             lambda: (
                 keymap.decode(
                     platform_log.records[fakes.TOPIC][-1].value
@@ -297,11 +299,11 @@
 
     platform_log = HangingLog()
     lease_servers = fakes.LeaseServers()
-    bench = fakes.Bench(platform_log, lease_servers)
+    bench = fakes.CoordinatorHarness(platform_log, lease_servers)
     for name in "abc":
         bench.book.put(support.make_server(name))
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         platform_log.hangs = True
         bench.book.put(support.make_server("c", leaving=True))
         deadline_s = time.monotonic() + 2.0
@@ -313,8 +315,8 @@
 async def test_no_order_is_sent_once_a_newer_map_is_known():
     platform_log, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
-        platform_log.away = True
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
+        platform_log.unavailable = True
         newest = bench.table.newest(fakes.SERVICE)
         foreign_map = newest._replace(
             version=newest.version + 1, coordinator=ids.InstanceId("entry-2")
@@ -329,11 +331,11 @@
 async def test_completed_moves_are_not_repeated_by_the_next_leader():
     platform_log, lease_servers, first = _make("a", "b")
     async with _running(first):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         first.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
         moved = platform_log.records[fakes.TOPIC][-1]
-    second = fakes.Bench(platform_log, lease_servers, "entry-2")
+    second = fakes.CoordinatorHarness(platform_log, lease_servers, "entry-2")
     for name in "ab":
         second.book.put(support.make_server(name))
     platform_log.records[fakes.TOPIC].append(moved)
@@ -345,7 +347,7 @@
         second.table.mark_settled(fakes.SERVICE, r.token, r.first_key)
     lease_servers.orders.clear()
     async with _running(second):
-        await fakes.until(lambda: lease_servers.orders)
+        await fakes.wait_until(lambda: lease_servers.orders)
         await anyio.sleep(0.2)
     assert not [o for o in lease_servers.orders if o[0] == "release"]
     assert lease_servers.holder(KEY) == "b"
@@ -355,12 +357,14 @@
     """The range stayed unserved for good when its owner was silent briefly."""
     _, lease_servers, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("b")
         bench.book.put(support.make_server("a", leaving=True))
-        await fakes.until(lambda: bench.coordinator._lease_manager.is_lost("b"))
+        await fakes.wait_until(
+            lambda: bench.coordinator._lease_manager.is_lost("b")
+        )
         lease_servers.silent.clear()
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b")
     assert not lease_servers.overlaps
 
 
@@ -368,32 +372,34 @@
     """The log becomes unavailable while a lost server's lease still runs."""
     platform_log, lease_servers = fakes.MemoryLog(), fakes.LeaseServers()
     long = dataclasses.replace(fakes.LEASES, lease_ms=600.0)
-    bench = fakes.Bench(platform_log, lease_servers, lease_settings=long)
+    bench = fakes.CoordinatorHarness(
+        platform_log, lease_servers, lease_settings=long
+    )
     for name in ("a", "b"):
         bench.book.put(support.make_server(name))
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("a")
-        await fakes.until(
+        await fakes.wait_until(
             lambda: bench.table.find(fakes.SERVICE, KEY).server_id == "b"
         )
         assert lease_servers.holder(KEY) == "a"
-        platform_log.away = True
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b", 1.0)
+        platform_log.unavailable = True
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b", 1.0)
     assert not lease_servers.overlaps
 
 
 async def test_a_lost_server_that_is_back_takes_keys_again():
     _, lease_servers, bench = _make("a", "b", "c")
     async with _running(bench):
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         lease_servers.silent.add("a")
-        await fakes.until(lambda: lease_servers.holder(KEY) in {"b", "c"})
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) in {"b", "c"})
         lease_servers.silent.clear()
         await anyio.sleep(0.1)
         for name in ("b", "c"):
             bench.book.put(support.make_server(name, leaving=True))
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
     assert not lease_servers.overlaps
 
 
@@ -464,7 +470,9 @@
 
 def _make_working(*names: str):
     platform_log, working = fakes.MemoryLog(), WorkingServers()
-    bench = fakes.Bench(platform_log, working, lease_settings=LONG_LEASES)
+    bench = fakes.CoordinatorHarness(
+        platform_log, working, lease_settings=LONG_LEASES
+    )
     for name in names:
         bench.book.put(support.make_server(name))
     return platform_log, working, bench
@@ -473,7 +481,7 @@
 async def _evacuate(bench, working, name: str) -> str:
     """Makes a server leave; returns the key's owner after its release."""
     bench.book.put(support.make_server(name, leaving=True))
-    await fakes.until(lambda: working.released(name))
+    await fakes.wait_until(lambda: working.released(name))
     return bench.table.find(fakes.SERVICE, KEY).server_id
 
 
@@ -490,7 +498,7 @@
     """Completes such an append and waits until the coordinator adopts it."""
     version = _complete_late_append(platform_log, bench)
     await bench.follower.catch_up()
-    await fakes.until(lambda: bench.coordinator._version >= version)
+    await fakes.wait_until(lambda: bench.coordinator._version >= version)
 
 
 # A move was executed twice, and a key was granted again while its last holder
@@ -498,13 +506,13 @@
 async def test_a_range_that_is_being_reclaimed_is_not_moved_again():
     platform_log, working, bench = _make_working(*"abcd")
     async with _running(bench):
-        await fakes.until(lambda: working.holder(KEY) == "a")
+        await fakes.wait_until(lambda: working.holder(KEY) == "a")
         working.begin_request("a")
         second = await _evacuate(bench, working, "a")
         await _adopt_late_append(platform_log, bench)
         late_s = time.monotonic()
         working.end_request("a")
-        await fakes.until(lambda: working.holder(KEY) == second)
+        await fakes.wait_until(lambda: working.holder(KEY) == second)
         working.begin_request(second)
         await anyio.sleep(late_s + 0.8 - time.monotonic())
         third = await _evacuate(bench, working, second)
@@ -513,7 +521,9 @@
         await anyio.sleep(late_s + 1.6 - time.monotonic())
         assert not working.conflicting_grants
         working.end_request(second)
-        await fakes.until(lambda: working.holder(KEY) not in {None, second})
+        await fakes.wait_until(
+            lambda: working.holder(KEY) not in {None, second}
+        )
     assert not working.conflicting_grants
 
 
@@ -542,15 +552,15 @@
 # still ran requests on it.
 async def test_a_range_is_reclaimed_before_an_outranked_server_gets_it():
     outranking = OutrankingServers("b")
-    bench = fakes.Bench(fakes.MemoryLog(), outranking)
+    bench = fakes.CoordinatorHarness(fakes.MemoryLog(), outranking)
     for name in "ab":
         bench.book.put(support.make_server(name))
     async with _running(bench):
-        await fakes.until(lambda: outranking.holder(KEY) == "a")
+        await fakes.wait_until(lambda: outranking.holder(KEY) == "a")
         outranking.on_refusal = lambda: bench.book.put(
             support.make_server("a", leaving=True)
         )
-        await fakes.until(lambda: outranking.holder(KEY) == "b")
+        await fakes.wait_until(lambda: outranking.holder(KEY) == "b")
     asked = [order[1] for order in outranking.orders if order[0] == "release"]
     assert "a" in asked
     assert not outranking.overlaps
@@ -566,11 +576,13 @@
             return await super().append(topic, record, expected_end)
 
     platform_log, working = SlowLog(), WorkingServers()
-    bench = fakes.Bench(platform_log, working, lease_settings=LONG_LEASES)
+    bench = fakes.CoordinatorHarness(
+        platform_log, working, lease_settings=LONG_LEASES
+    )
     for name in "abcd":
         bench.book.put(support.make_server(name))
     async with _running(bench):
-        await fakes.until(lambda: working.holder(KEY) == "a")
+        await fakes.wait_until(lambda: working.holder(KEY) == "a")
         working.begin_request("a")
         second = await _evacuate(bench, working, "a")
         platform_log.slow_s = 0.2
@@ -578,7 +590,7 @@
         bench.book.put(support.make_server(other, leaving=True))
         await anyio.sleep(0.1)
         working.end_request("a")
-        await fakes.until(lambda: working.holder(KEY) == second)
+        await fakes.wait_until(lambda: working.holder(KEY) == second)
         platform_log.slow_s = 0.0
         asked_count = len(working.released("a"))
         deadline_s = time.monotonic() + 1.5
@@ -594,7 +606,7 @@
 async def test_a_rejection_is_kept_until_a_new_token_is_in_the_log():
     platform_log, _, bench = _make("a", "b")
     async with _running(bench):
-        await fakes.until(lambda: bench.table.newest(fakes.SERVICE))
+        await fakes.wait_until(lambda: bench.table.newest(fakes.SERVICE))
         await anyio.sleep(0.3)
         coordinating, owner = bench.coordinator, ids.ServerId("a")
         version = _complete_late_append(platform_log, bench)
@@ -618,10 +630,10 @@
 # Keys stayed forever with a server that accepts connections but never answers.
 async def test_keys_of_a_server_that_hangs_go_elsewhere():
     hung = HungServers()
-    bench = fakes.Bench(fakes.MemoryLog(), hung)
+    bench = fakes.CoordinatorHarness(fakes.MemoryLog(), hung)
     for name in "ab":
         bench.book.put(support.make_server(name))
     async with _running(bench):
-        await fakes.until(lambda: hung.holder(KEY) == "a")
+        await fakes.wait_until(lambda: hung.holder(KEY) == "a")
         hung.silent.add("a")
-        await fakes.until(lambda: hung.holder(KEY) == "b", timeout_s=5.0)
+        await fakes.wait_until(lambda: hung.holder(KEY) == "b", timeout_s=5.0)
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -21,14 +21,14 @@
 OK = outcomes.Answered(200, (), b"whole")
 FAILED = outcomes.Answered(500, (), b"")
 SHED = attempts.Shed(503)
-BROKEN = attempts.Interrupted("reset")
+INTERRUPTED = attempts.Interrupted("reset")
 REFUSED = attempts.NotSent("refused", refused=True)
-UNSENT = attempts.NotSent("timeout")
-DENIED = attempts.NotOwner("")
+NOT_SENT = attempts.NotSent("timeout")
+NOT_OWNER = attempts.NotOwner("")
 
 
 class Backends:
-    """An ``attempts.BackendClient`` that answers by script."""
+    """An ``attempts.BackendClient`` with scripted answers; None is silence."""
 
     def __init__(self, *script: attempts.Attempt | None) -> None:
         self.script = list(script)
@@ -138,13 +138,17 @@
     ("script", "idempotent", "status", "sent"),
     [
         pytest.param([OK], False, 200, 1, id="answered"),
-        pytest.param([BROKEN], False, 502, 1, id="may have run"),
-        pytest.param([BROKEN, OK], True, 200, 2, id="repeated"),
-        pytest.param([BROKEN, BROKEN], True, 502, 2, id="broken twice"),
+        pytest.param([INTERRUPTED], False, 502, 1, id="may have run"),
+        pytest.param([INTERRUPTED, OK], True, 200, 2, id="repeated"),
+        pytest.param(
+            [INTERRUPTED, INTERRUPTED], True, 502, 2, id="broken twice"
+        ),
         pytest.param([SHED, OK], False, 200, 2, id="shed, not run"),
         pytest.param([SHED] * 4, False, 503, 4, id="shed by all"),
-        pytest.param([UNSENT, OK], False, 200, 2, id="never sent"),
-        pytest.param([SHED, BROKEN], False, 502, 2, id="shed, then broken"),
+        pytest.param([NOT_SENT, OK], False, 200, 2, id="never sent"),
+        pytest.param(
+            [SHED, INTERRUPTED], False, 502, 2, id="shed, then broken"
+        ),
         pytest.param([FAILED], False, 500, 1, id="failed, not repeated"),
         pytest.param([FAILED, OK], True, 200, 2, id="failed, repeated"),
         pytest.param([FAILED, FAILED], True, 500, 2, id="failed twice"),
@@ -153,7 +157,7 @@
         ),
     ],
 )
-async def test_what_is_told_is_the_truth(script, idempotent, status, sent):
+async def test_outcome_matches_the_attempts(script, idempotent, status, sent):
     backends = Backends(*script)
     outcome = await Scene(backends, idempotent=idempotent).ask()
     assert outcome.status == status
@@ -169,7 +173,7 @@
     assert set(backends.sent) == {"a", "b"}
 
 
-async def test_a_server_whose_address_refuses_is_left_alone_for_a_while():
+async def test_server_that_refuses_connections_is_paused():
     backends = Backends(REFUSED, OK)
     scene = Scene(backends)
     await scene.ask()
@@ -178,7 +182,7 @@
     assert not scene.book.has_ended(ids.ServerId(backends.sent[0]))
 
 
-async def test_nothing_is_told_to_be_missing_before_there_is_a_configuration():
+async def test_unknown_route_is_not_reported_without_a_configuration():
     scene = Scene(Backends())
     scene.dispatcher.routes = None
     assert (await scene.ask()).status == 503
@@ -192,7 +196,7 @@
         pytest.param(float("inf"), 503, id="told by nobody"),
     ],
 )
-async def test_a_route_is_missing_for_certain_only_if_nothing_changed(
+async def test_unknown_route_is_reported_only_by_a_current_configuration(
     age_s, status
 ):
     scene = Scene(Backends())
@@ -202,7 +206,7 @@
     assert outcome.status == status
 
 
-async def test_an_unknown_path_is_told_as_such():
+async def test_unknown_path_returns_404():
     assert (await Scene(Backends()).ask(path="/b/x")).status == 404
 
 
@@ -213,9 +217,7 @@
         pytest.param(5_000, 60.0, id="of the caller"),
     ],
 )
-async def test_the_shorter_time_bounds_everything(
-    timeout_ms, caller_timeout_ms
-):
+async def test_the_shorter_timeout_applies(timeout_ms, caller_timeout_ms):
     backends = Backends(None)
     scene = Scene(backends, timeout_ms=timeout_ms)
     with anyio.fail_after(0.5):
@@ -226,8 +228,8 @@
 
 
 @pytest.mark.parametrize("keyed", [True, False])
-async def test_nothing_is_sent_for_a_request_whose_time_is_over(keyed):
-    """As one that was read after the process had stood still."""
+async def test_nothing_is_sent_for_a_request_past_its_deadline(keyed):
+    """For example a request that was read after the process was suspended."""
     backends = Backends(OK)
     scene = Scene(backends, keyed=keyed)
     scene.put_map(1, _owned_by("a"))
@@ -237,15 +239,15 @@
     assert not backends.sent
 
 
-async def test_nothing_is_sent_once_the_time_is_over():
-    """The first server sheds the request after its time; none is left."""
+async def test_no_retry_is_sent_after_the_deadline():
+    """The first server sheds the request when its deadline has passed."""
     backends = Backends(SHED, OK)
     scene = Scene(backends)
     send = backends.send
 
     async def send_and_stand_still(server, request, remaining_ms, may_send):
         result = await send(server, request, remaining_ms, may_send)
-        time.sleep(0.1)  # noqa: ASYNC251 (the process stands still)
+        time.sleep(0.1)  # noqa: ASYNC251 (simulates a suspended process)
         return result
 
     backends.send = send_and_stand_still
@@ -254,8 +256,8 @@
     assert len(backends.sent) == 1
 
 
-async def test_a_stopping_instance_takes_nothing_that_may_outlast_it():
-    """One that was taken 4 s before the end waited 6 s at its server."""
+async def test_stopping_instance_refuses_requests_that_may_outlast_it():
+    """A request accepted 4 s before the shutdown waited 6 s at its server."""
     backends = Backends(OK)
     scene = Scene(backends)
     scene.dispatcher.shutdown_deadline_s = (
@@ -269,7 +271,7 @@
     assert await scene.ask(caller_timeout_ms=200.0) == OK
 
 
-async def test_what_a_stopping_instance_has_taken_ends_before_it_does():
+async def test_accepted_requests_end_before_the_shutdown():
     backends = Backends(None)
     scene = Scene(backends)
     ends_s = clock.SystemClock().monotonic_s() + 0.2
@@ -279,7 +281,7 @@
     assert clock.SystemClock().monotonic_s() < ends_s
 
 
-async def test_a_caller_that_leaves_stops_the_attempt():
+async def test_disconnect_of_the_caller_cancels_the_attempt():
     backends = Backends(None)
     scene = Scene(backends)
     with anyio.move_on_after(0.05):
@@ -288,7 +290,7 @@
     assert scene.dispatcher.in_flight_count == 0
 
 
-async def test_nothing_is_sent_again_once_the_budget_is_spent():
+async def test_no_retry_without_retry_budget():
     bounds = dataclasses.replace(
         support.BOUNDS, retry_ratio=0.0, retry_slack=0.0
     )
@@ -318,8 +320,8 @@
     assert backends.sent == ["b"]
 
 
-async def test_a_denied_request_follows_the_key():
-    backends = Backends(DENIED, OK)
+async def test_request_rejected_by_a_former_owner_follows_the_key():
+    backends = Backends(NOT_OWNER, OK)
     scene = Scene(backends, keyed=True)
     scene.put_map(1, _owned_by("a"))
     async with anyio.create_task_group() as tasks:
@@ -329,7 +331,7 @@
     assert backends.sent == ["a", "b"]
 
 
-async def test_a_key_without_an_owner_is_told_at_once():
+async def test_request_for_a_key_without_an_owner_is_refused_early():
     scene = Scene(Backends(), keyed=True)
     scene.put_map(1, _owned_by("gone"))
     with anyio.fail_after(0.15):
@@ -338,7 +340,7 @@
     assert outcome.retry_after_ms > 0
 
 
-async def test_no_request_goes_to_a_server_that_left_for_long():
+async def test_no_request_goes_to_a_server_that_left_long_ago():
     backends = Backends(OK, OK)
     scene = Scene(backends)
     scene.book.put(support.make_server("a", leaving=True))
@@ -356,8 +358,8 @@
         pytest.param(0.0, 200, 2, id="after the work"),
     ],
 )
-async def test_a_full_owner_is_not_asked_again_at_once(latency_s, status, sent):
-    backends = Backends(BROKEN, OK)
+async def test_full_owner_is_not_retried_immediately(latency_s, status, sent):
+    backends = Backends(INTERRUPTED, OK)
     scene = Scene(backends, keyed=True)
     scene.put_map(1, _owned_by("a"))
     owner = scene.book.get(ids.ServerId("a"))
@@ -368,18 +370,21 @@
     assert len(backends.sent) == sent
 
 
-async def test_the_pause_after_denials_grows():
-    backends = Backends(DENIED, DENIED, DENIED, OK)
+async def test_pause_after_not_owner_answers_grows():
+    backends = Backends(NOT_OWNER, NOT_OWNER, NOT_OWNER, OK)
     scene = Scene(backends, keyed=True)
     scene.put_map(1, _owned_by("a"))
-    begun_s = anyio.current_time()
+    started_s = anyio.current_time()
     outcome = await scene.ask(caller_timeout_ms=1_000)
     assert outcome.status == 200
-    assert anyio.current_time() - begun_s > 0.05 + 0.1 + 0.2 - 0.02
+    assert anyio.current_time() - started_s > 0.05 + 0.1 + 0.2 - 0.02
+
 
+async def test_retry_for_a_lost_key_gets_a_longer_retry_after():
+    """Keys of a lost server have a new owner after 2 to 3 s.
 
-async def test_who_comes_back_to_a_lost_key_is_told_to_wait_for_longer():
-    """Keys of a lost server are back after 2 to 3 s; callers come thrice."""
+    Callers make only three attempts, so they must not retry too early.
+    """
     scene = Scene(Backends(), keyed=True)
     scene.put_map(1, _owned_by("gone"))
     for _ in range(3):
@@ -391,11 +396,11 @@
     assert again.retry_after_ms == 1_000
 
 
-HOMES = {"hall-1": "north", "hall-2": "south", "hall-3": "south"}
+AREA_OF_DOMAIN = {"hall-1": "north", "hall-2": "south", "hall-3": "south"}
 
 
-class Homes(Scene):
-    """Servers in two areas, and a route that may be served in one."""
+class AreaScene(Scene):
+    """Servers in two areas, and a route with allowed areas."""
 
     def __init__(
         self, backends: Backends, *areas: str, keyed: bool = False
@@ -405,7 +410,7 @@
         self.book.put(support.make_server("south-3", domain="hall-3"))
         self.book.put(support.make_server("nowhere", domain="hall-9"))
         self.dispatcher._selector._instance = dataclasses.replace(
-            support.INSTANCE, area_of_domain=HOMES
+            support.INSTANCE, area_of_domain=AREA_OF_DOMAIN
         )
         route = dataclasses.replace(
             support.make_route(max_attempts=4), allowed_areas=frozenset(areas)
@@ -427,7 +432,7 @@
 )
 async def test_requests_stay_in_the_areas_of_their_route(areas, allowed):
     backends = Backends(*[FAILED] * 8)
-    scene = Homes(backends, *areas)
+    scene = AreaScene(backends, *areas)
     for _ in range(2):
         await scene.ask()
     assert len(backends.sent) == 8
@@ -436,17 +441,17 @@
 
 async def test_a_route_without_a_server_in_its_areas_is_refused_at_once():
     backends = Backends()
-    scene = Homes(backends, "nowhere at all")
-    begun_s = time.monotonic()
+    scene = AreaScene(backends, "nowhere at all")
+    started_s = time.monotonic()
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.status == 503
-    assert time.monotonic() - begun_s < 0.1
+    assert time.monotonic() - started_s < 0.1
 
 
 async def test_a_key_that_is_owned_in_another_area_is_refused_at_once():
     backends = Backends(OK)
-    scene = Homes(backends, "south", keyed=True)
+    scene = AreaScene(backends, "south", keyed=True)
     scene.put_map(1, _owned_by("a"))
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
--- a/libs/bridgecross-entry/tests/test_feeds.py
+++ b/libs/bridgecross-entry/tests/test_feeds.py
@@ -109,12 +109,12 @@
 
     async def _read(self):
         index = self._pick()
-        self.logs[index].holds = False
+        self.logs[index].holds_answers = False
         await self.readers[index].read()
 
     async def _begin_read(self):
         index = self._pick()
-        self.logs[index].holds = True
+        self.logs[index].holds_answers = True
         feed = self._random.choice(self.readers[index].state._feeds)
         self._tasks.start_soon(feed.follower.catch_up)
 
@@ -151,7 +151,7 @@
 
     async def _start_anew(self):
         index = self._pick()
-        self.logs[index].let_all_go()
+        self.logs[index].release_all()
         self.logs[index] = fakes.PartialLog(self.shared)
         self.readers[index] = cluster_state_support.Reader(self.logs[index])
         self.relays[index] = cluster_state_support.Relay(self.readers[index])
@@ -160,14 +160,14 @@
         away = self._random.choice(
             ((), (SERVERS,), (CONFIGURATION,), (SERVERS, CONFIGURATION))
         )
-        self.logs[self._pick()].away_topics = set(away)
+        self.logs[self._pick()].unavailable_topics = set(away)
 
     async def settle(self) -> None:
         """Lets one instance read and relay; the others read nothing."""
         for each in self.logs:
-            each.let_all_go()
+            each.release_all()
         await _run_all()
-        self.logs[0].away_topics = set()
+        self.logs[0].unavailable_topics = set()
         for _ in range(2):
             await self.readers[0].read()
             self.relays[0].send(*self.readers[1:])
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -118,7 +118,7 @@
 KEYED_WAYS = ("owner", "after a denial", "owner by permit", "health of owner")
 SCRIPTS = {
     "after a failure": [scenes.FAILED],
-    "after a denial": [scenes.DENIED],
+    "after a denial": [scenes.NOT_OWNER],
 }
 
 
--- a/libs/bridgecross-entry/tests/test_leadership.py
+++ b/libs/bridgecross-entry/tests/test_leadership.py
@@ -94,7 +94,7 @@
 
 async def test_one_of_many_leads():
     async with _running(5, fakes.MemoryLog()) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)
         await anyio.sleep(0.4)
         assert _leaders(members) == first
@@ -114,7 +114,7 @@
     a busy machine, and in each run in which the loop stands still for 0.2 s.
     """
     async with _running(5, fakes.MemoryLog()) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)
         await anyio.sleep(0.1)
         time.sleep(blocked_s)  # noqa: ASYNC251 (nothing else may run)
@@ -124,16 +124,16 @@
 
 async def test_another_leads_once_the_leader_is_silent():
     async with _running(5, fakes.MemoryLog()) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         (first,) = _leaders(members)
         first.reachable = []
-        await fakes.until(lambda: len(_leaders(first.others)) == 1)
-        await fakes.until(lambda: not first.leadership.is_leader)
+        await fakes.wait_until(lambda: len(_leaders(first.others)) == 1)
+        await fakes.wait_until(lambda: not first.leadership.is_leader)
 
 
 async def test_a_leader_that_resigns_is_followed_at_once():
     async with _running(3, fakes.MemoryLog()) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         await anyio.sleep(0.1)
         (first,) = _leaders(members)
         first.leadership.resign()
@@ -141,25 +141,25 @@
         first.reachable = []
         for other in first.others:
             other.leadership.handle_heartbeat(claim, resigns=True)
-        await fakes.until(lambda: _leaders(first.others), 0.12)
+        await fakes.wait_until(lambda: _leaders(first.others), 0.12)
 
 
 async def test_nobody_claims_while_the_log_is_away_and_one_does_after():
     platform_log = fakes.MemoryLog()
-    platform_log.away = True
+    platform_log.unavailable = True
     async with _running(3, platform_log) as members:
         await anyio.sleep(0.3)
         assert not _leaders(members)
-        platform_log.away = False
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        platform_log.unavailable = False
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
 
 
 async def test_a_leader_that_restarts_leads_again_at_once():
     platform_log = fakes.MemoryLog()
     async with _running(1, platform_log) as (first,):
-        await fakes.until(lambda: first.leadership.is_leader)
+        await fakes.wait_until(lambda: first.leadership.is_leader)
     async with _running(1, platform_log) as (again,):
-        await fakes.until(lambda: again.leadership.is_leader, 0.1)
+        await fakes.wait_until(lambda: again.leadership.is_leader, 0.1)
         assert again.leadership.term == 1
 
 
@@ -167,7 +167,7 @@
     platform_log = fakes.MemoryLog()
     platform_log.lose_answer = True
     async with _running(2, platform_log) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
 
 
 async def test_a_heartbeat_of_an_earlier_term_is_not_accepted():
@@ -181,12 +181,12 @@
 async def test_a_leader_that_has_been_followed_by_another_finds_out():
     platform_log = fakes.MemoryLog()
     async with _running(2, platform_log) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         (first,) = _leaders(members)
         first.reachable = []
         for other in first.others:
             other.reachable = []
-        await fakes.until(lambda: len(_leaders(members)) == 2)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 2)
         await first.leadership.confirm()
         assert not first.leadership.is_leader
 
@@ -194,8 +194,8 @@
 async def test_while_the_leader_has_lost_the_log_the_others_try_one_by_one():
     platform_log = fakes.MemoryLog()
     async with _running(4, platform_log) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
-        platform_log.away = True
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
+        platform_log.unavailable = True
         calls = []
         original = platform_log.read_newest
 
@@ -224,7 +224,7 @@
 async def test_one_that_reaches_the_log_takes_over_from_a_leader_that_lost_it():
     platform_log = fakes.MemoryLog()
     async with _running(3, platform_log) as members:
-        await fakes.until(lambda: len(_leaders(members)) == 1)
+        await fakes.wait_until(lambda: len(_leaders(members)) == 1)
         first = _leaders(members)[0]
         heard = first.reachable
         first.reachable = []
--- a/libs/bridgecross-entry/tests/test_log_breaker.py
+++ b/libs/bridgecross-entry/tests/test_log_breaker.py
@@ -50,7 +50,7 @@
 async def test_one_call_per_pause_tests_whether_the_log_is_available(
     breaker, behind, clock
 ):
-    behind.away = True
+    behind.unavailable = True
     attempts_s = []
     for _ in range(50):
         before = behind.calls
@@ -65,9 +65,9 @@
 
 
 async def test_an_answer_closes_the_breaker(breaker, behind, clock):
-    behind.away = True
+    behind.unavailable = True
     await breaker.read_newest("topic")
-    behind.away = False
+    behind.unavailable = False
     clock.now_s += 0.3
     assert isinstance(await breaker.read_newest("topic"), log.Newest)
     assert isinstance(await breaker.append("topic", RECORD, 0), log.Appended)
@@ -75,9 +75,9 @@
 
 
 async def test_a_rejected_write_is_reported_as_not_made(breaker, behind):
-    behind.away = True
+    behind.unavailable = True
     await breaker.read_newest("topic")
-    behind.away = False
+    behind.unavailable = False
     result = await breaker.append("topic", RECORD, 0)
     assert isinstance(result, log.Unreachable)
     assert not await breaker.put("topic", RECORD)
@@ -94,7 +94,7 @@
 
 
 async def test_topics_fail_independently(breaker, behind):
-    behind.away_topics = {"topic"}
+    behind.unavailable_topics = {"topic"}
     assert isinstance(await breaker.read_newest("topic"), log.Unreachable)
     assert isinstance(await breaker.read_newest("other"), log.Newest)
     calls = behind.calls
@@ -105,9 +105,9 @@
 async def test_writes_do_not_use_up_the_attempts_of_reads(
     breaker, behind, clock
 ):
-    behind.away = True
+    behind.unavailable = True
     await breaker.read("topic", 0, 0)
-    behind.away = False
+    behind.unavailable = False
     answered = []
     for number in range(200):
         clock.now_s += 0.05
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -165,7 +165,7 @@
     await scene.leader.tell()
     # The log turns two away, for this topic alone; the third one reads it.
     for each in scene.logs[:2]:
-        each.away_topics = {"configuration"}
+        each.unavailable_topics = {"configuration"}
     scene.configure(2)
     await scene.read()
     assert scene.versions() == [1, 1, 2]
@@ -324,11 +324,11 @@
     await scene.read()
     scene.leader.wire.members = {}
     scene.leader.relayer._addresses = tuple
-    scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
+    scene.logs[0].unavailable_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.leader.reader.read()
     await scene.leader.tell()
     assert scene.leader.lead.majority_known_s == float("inf")
-    scene.logs[0].away_topics = set()
+    scene.logs[0].unavailable_topics = set()
     await scene.leader.reader.read()
     await scene.leader.tell()
     assert scene.leader.lead.majority_known_s < float("inf")
@@ -349,11 +349,11 @@
 
 async def test_who_does_not_know_the_others_counts_no_majority():
     scene = Scene()
-    scene.logs[0].away_topics = {cluster_state.INSTANCE_TOPIC}
+    scene.logs[0].unavailable_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.read()
     await scene.leader.tell()
     assert scene.leader.lead.majority_known_s == float("inf")
-    scene.logs[0].away_topics = set()
+    scene.logs[0].unavailable_topics = set()
     await scene.read()
     await scene.leader.tell()
     assert scene.leader.lead.majority_known_s < float("inf")
--- a/libs/bridgecross-entry/tests/test_restarts.py
+++ b/libs/bridgecross-entry/tests/test_restarts.py
@@ -156,13 +156,13 @@
 async def _running(*names: str):
     platform_log = fakes.MemoryLog()
     lease_servers = fakes.LeaseServers()
-    bench = fakes.Bench(platform_log, lease_servers)
+    bench = fakes.CoordinatorHarness(platform_log, lease_servers)
     for name in names:
         bench.book.put(support.make_server(name, started_ms=16))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(bench.follower.run)
         tasks.start_soon(bench.coordinator.run)
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a")
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a")
         yield platform_log, lease_servers, bench
         tasks.cancel_scope.cancel()
     assert not lease_servers.overlaps
@@ -190,8 +190,8 @@
         _list_restart(bench)
         # A lease lasts 0.2 s here; the coordinator does not wait for its
         # expiry.
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
-        await fakes.until(lambda: _token(lease_servers) > before, 0.1)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a", 0.1)
+        await fakes.wait_until(lambda: _token(lease_servers) > before, 0.1)
         owner = bench.table.find(fakes.SERVICE, KEY).server_id
         assert owner == "a@20"
 
@@ -201,18 +201,18 @@
         for started_ms in (32, 48):
             lease_servers.restart("a")
             _list_restart(bench, started_ms)
-        await fakes.until(
+        await fakes.wait_until(
             lambda: bench.table.find(fakes.SERVICE, KEY).server_id == "a@30",
             0.2,
         )
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a", 0.1)
 
 
 async def test_an_unnoticed_restart_is_repaired_by_the_next_renewal():
     """The order intended for the earlier run reaches the new one."""
     async with _running("a", "b") as (_, lease_servers, _):
         lease_servers.restart("a")
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a", 0.1)
 
 
 async def test_a_late_order_that_reached_the_new_run_is_revoked():
@@ -220,10 +220,10 @@
     async with _running("a", "b") as (_, lease_servers, bench):
         lease_servers.restart("a")
         # The renewal intended for the earlier run reaches the new one.
-        await fakes.until(lambda: lease_servers.holder(KEY) == "a", 0.1)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "a", 0.1)
         new = support.make_server("a", started_ms=32, leaving=True)
         _apply(bench, new)
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b", 1.0)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b", 1.0)
         released = [o for o in lease_servers.orders if o[0] == "release"]
         assert {order[1] for order in released} == {"a"}
 
@@ -235,24 +235,26 @@
         new = support.make_server("a", started_ms=32, leaving=True)
         _apply(bench, new)
         begun_s = anyio.current_time()
-        await fakes.until(lambda: lease_servers.holder(KEY) == "b", 2.0)
+        await fakes.wait_until(lambda: lease_servers.holder(KEY) == "b", 2.0)
         assert anyio.current_time() - begun_s > 0.15
 
 
 async def test_the_next_leader_learns_of_a_restart_from_the_map():
     async with _running("a", "b") as (platform_log, lease_servers, first):
-        await fakes.until(lambda: lease_servers.holder(keymap.LAST_KEY))
+        await fakes.wait_until(lambda: lease_servers.holder(keymap.LAST_KEY))
         before = _token(lease_servers)
         first.lead.may_order = False
         lease_servers.restart("a")
-        following = fakes.Bench(platform_log, lease_servers, "entry-2")
+        following = fakes.CoordinatorHarness(
+            platform_log, lease_servers, "entry-2"
+        )
         # This instance has never seen the earlier run listed.
         following.book.put(support.make_server("a", started_ms=32))
         following.book.put(support.make_server("b", started_ms=16))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(following.follower.run)
             tasks.start_soon(following.coordinator.run)
-            await fakes.until(
+            await fakes.wait_until(
                 lambda: (
                     lease_servers.holder(KEY) is not None
                     and _token(lease_servers) > before
