--- a/libs/bridgecross-entry/tests/test_feeds.py
+++ b/libs/bridgecross-entry/tests/test_feeds.py
@@ -119,7 +119,7 @@
         self._tasks.start_soon(feed.follower.catch_up)
 
     async def _let_go(self):
-        held = self.logs[self._pick()].held
+        held = self.logs[self._pick()].held_answers
         if held:
             held.pop(self._random.randrange(len(held))).set()
 
