--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_failed_request_log.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_failed_request_log.py
@@ -1,4 +1,4 @@
-"""Log lines for requests that end without an answer of their server."""
+"""Rate-limited log lines for requests that were not answered by a server."""
 
 import dataclasses
 from typing import NamedTuple
@@ -10,19 +10,22 @@
 from bridgecross_core import outcomes
 from bridgecross_request import requests
 
-_PERIOD_S = 1.0
-"""One line in this time tells of requests that end alike.
+_INTERVAL_S = 1.0
+"""The interval in which one line is logged per service, outcome and reason.
 
-An overload refuses thousands a second for one reason; on-call engineers need
-the reason, an example and a count.
+In an overload, thousands of requests per second are refused for one reason.
+On-call engineers need the reason, one example and the count.
 """
 
 _KINDS_MAX_COUNT = 100
-"""Kinds that are kept apart at one time; reasons may hold names of servers."""
+"""How many kinds of failure are tracked before expired ones are removed.
+
+Reasons may contain the names of servers, so their number is unbounded.
+"""
 
 
 class _Kind(NamedTuple):
-    """What requests that end alike have in common."""
+    """Identifies failures that share one log line."""
 
     service: ids.ServiceName
     outcome: str
@@ -30,33 +33,33 @@
 
 
 @dataclasses.dataclass
-class _Told:
-    """When a kind was last told, and how many came since."""
+class _LastLine:
+    """When a kind was last logged, and the number of requests since then."""
 
-    at_s: float
-    untold_count: int = 0
+    logged_s: float
+    suppressed_count: int = 0
 
 
 class FailedRequestLog:
-    """Tells of requests that were not run, or whose outcome is unknown."""
+    """Logs requests that were not run, or whose outcome is unknown."""
 
     def __init__(self, instance: ids.InstanceId, clock: clocks.Clock) -> None:
-        """Has told nothing yet."""
+        """Starts without logged kinds."""
         self._instance = instance
         self._clock = clock
-        self._told: dict[_Kind, _Told] = {}
+        self._last_lines: dict[_Kind, _LastLine] = {}
 
-    def note(
+    def record(
         self,
         request: requests.Request,
         outcome: outcomes.NotRun | outcomes.Unknown,
     ) -> None:
-        """Writes a line, or counts the request for the next one."""
+        """Logs a request, or counts it for the next line of its kind."""
         now_s = self._clock.monotonic_s()
         kind = _Kind(request.service, type(outcome).__name__, outcome.reason)
-        told = self._told.get(kind)
-        if told is not None and now_s - told.at_s < _PERIOD_S:
-            told.untold_count += 1
+        last_line = self._last_lines.get(kind)
+        if last_line is not None and now_s - last_line.logged_s < _INTERVAL_S:
+            last_line.suppressed_count += 1
             return
         loguru.logger.warning(
             "{}: {} {}/{} {}: {}; {:.3f} s left, {} more like it",
@@ -67,17 +70,17 @@
             kind.outcome,
             kind.reason,
             request.deadline_s - now_s,
-            told.untold_count if told else 0,
+            last_line.suppressed_count if last_line else 0,
         )
-        self._forget_old(now_s)
-        self._told[kind] = _Told(now_s)
+        self._remove_expired(now_s)
+        self._last_lines[kind] = _LastLine(now_s)
 
-    def _forget_old(self, now_s: float) -> None:
-        """Keeps the memory bounded; what is dropped was told long ago."""
-        if len(self._told) < _KINDS_MAX_COUNT:
+    def _remove_expired(self, now_s: float) -> None:
+        """Removes expired kinds if there are too many, to bound memory."""
+        if len(self._last_lines) < _KINDS_MAX_COUNT:
             return
-        self._told = {
-            kind: told
-            for kind, told in self._told.items()
-            if now_s - told.at_s < _PERIOD_S
+        self._last_lines = {
+            kind: last_line
+            for kind, last_line in self._last_lines.items()
+            if now_s - last_line.logged_s < _INTERVAL_S
         }
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_heartbeats.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the coordinators, and what they tell about the peers."""
+"""Sends heartbeats to the coordinators and tracks the state of the peers."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,10 +14,10 @@
 
 
 class PeerWatcher:
-    """What this instance knows of how its peers are.
+    """Tracks which peers answer and which are stopping.
 
-    See ``coordinator.PeerWatch``. A peer counts as silent from its last
-    reply, or from when this instance first wanted to hear from it.
+    Implements ``coordinator.PeerWatch``. A peer counts as silent from its last
+    reply or, if there was none, from the first query about it.
     """
 
     def __init__(
@@ -26,36 +26,36 @@
         membership: memberships.Membership,
         clock: clocks.Clock,
     ) -> None:
-        """Has heard from nobody yet."""
-        self.me_leaving = False
+        """Starts without contact to any peer."""
+        self.self_leaving = False
         self._me = me
         self._membership = membership
         self._clock = clock
-        self._heard_s: dict[ids.InstanceId, float] = {}
+        self._last_contact_s: dict[ids.InstanceId, float] = {}
         self._leaving: set[ids.InstanceId] = set()
 
     def silent_s(self, instance: ids.InstanceId) -> float:
-        """Returns for how long an instance has not answered."""
+        """Returns the seconds since an instance last answered."""
         now_s = self._clock.monotonic_s()
-        return now_s - self._heard_s.setdefault(instance, now_s)
+        return now_s - self._last_contact_s.setdefault(instance, now_s)
 
     def is_leaving(self, instance: ids.InstanceId) -> bool:
-        """Returns whether an instance said, or the list says, it leaves."""
-        if instance == self._me and self.me_leaving:
+        """Returns whether an instance or the list says that it is stopping."""
+        if instance == self._me and self.self_leaving:
             return True
         listing = self._membership.find(instance)
         if listing and listing.state is memberships.ListedState.LEAVING:
             return True
         return instance in self._leaving
 
-    def note_heard(self, instance: ids.InstanceId, leaving: bool) -> None:
-        """Notes that an instance is there, and whether it is leaving."""
-        self._heard_s[instance] = self._clock.monotonic_s()
+    def record_contact(self, instance: ids.InstanceId, leaving: bool) -> None:
+        """Records that an instance is alive, and whether it is stopping."""
+        self._last_contact_s[instance] = self._clock.monotonic_s()
         if leaving:
             self._leaving.add(instance)
 
-    def note_leaving(self, instance: ids.InstanceId) -> None:
-        """Notes that an instance is leaving."""
+    def record_leaving(self, instance: ids.InstanceId) -> None:
+        """Records that an instance is stopping."""
         self._leaving.add(instance)
 
 
@@ -63,7 +63,7 @@
 class HeartbeatSettings:
     """How heartbeats are sent."""
 
-    # How often.
+    # The interval between heartbeats, and the timeout of each.
     interval_ms: int
 
 
@@ -80,13 +80,13 @@
             [], dict[ids.InstanceId, peer_protocol.Heartbeat]
         ],
     ) -> None:
-        """Sends nothing yet.
+        """Initializes the sender; ``run`` starts it.
 
         Args:
-            settings: How often, replaced as it changes.
+            settings: The interval; replaced when the settings change.
             client: Calls the coordinators.
-            addresses: Where they are.
-            watcher: Takes in whether they answer.
+            addresses: Looks up the addresses of the coordinators.
+            watcher: Records which coordinators answer.
             make_heartbeats: Returns the heartbeat for each coordinator.
         """
         self.settings = settings
@@ -108,7 +108,7 @@
     async def _send(
         self, instance: ids.InstanceId, heartbeat: peer_protocol.Heartbeat
     ) -> None:
-        """Sends one heartbeat; a failure shows as silence."""
+        """Sends one heartbeat; after a failure the peer counts as silent."""
         address = self._addresses.find_peer_address(instance)
         if address is None:
             return
@@ -126,6 +126,6 @@
             self._in_flight.discard(instance)
         services = {report.service for report in heartbeat.reports}
         if reply.leaving:
-            self._watcher.note_leaving(instance)
+            self._watcher.record_leaving(instance)
         if services.issubset(reply.coordinates):
-            self._watcher.note_heard(instance, reply.leaving)
+            self._watcher.record_contact(instance, reply.leaving)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_peer_log_reader.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_peer_log_reader.py
@@ -1,12 +1,14 @@
-"""News of the control stream from other instances, while the log is silent.
+"""Reads the control stream from other instances while the log is unavailable.
 
-The instances that the log names as witnesses of this instance's fronts are
-asked for what they have read. If that is nothing newer, they have confirmed
-that this instance may go on; if it is, this instance now knows it as well.
+The log names witnesses for each front of this instance. They are asked for the
+records that they have read. If they have none that this instance lacks, they
+have confirmed that it may continue to act as a front; otherwise it applies the
+records that it lacked.
 
-The log may turn away this instance alone, which may front nothing and so have
-no witnesses, or have some that are turned away with it. So that it does not
-stay behind, the other listed instances are asked as well, one after another.
+The log may be unreachable from this instance alone, and the instance may front
+no server and so have no witnesses, or its witnesses may be cut off as well. The
+other listed instances are therefore asked too, one per round, so that its state
+does not become outdated.
 """
 
 import bisect
@@ -21,12 +23,12 @@
 from bridgecross_daemon import ports
 from bridgecross_ownership import authority as authorities
 
-_SHARE_OF_AUTHORITY = 5
-_NOTHING = ids.Offset(2**62)
+_ROUNDS_PER_AUTHORITY = 5
+_BEYOND_ALL_RECORDS = ids.Offset(2**62)
 
 
 class PeerLogReader:
-    """Asks other instances; a ``releases.WitnessSource``."""
+    """Asks other instances for records; a ``releases.WitnessSource``."""
 
     def __init__(
         self,
@@ -37,10 +39,10 @@
         addresses: _platform.Addresses,
         clock: clocks.Clock,
     ) -> None:
-        """Asks nobody yet."""
+        """Starts without witnesses."""
         self.witnesses: set[ids.InstanceId] = set()
-        # Who was asked last of those that are listed.
-        self._asked_last = me
+        # The listed instance whose index it was in the last round.
+        self._last_chosen = me
         self._me = me
         self._state = state
         self._authority = authority
@@ -49,17 +51,17 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Asks for news while the log is silent, until cancelled."""
+        """Asks for records while the log is unavailable, until cancelled."""
         while True:
             if self._authority.needs_witnesses():
-                await self.take_news(self.witnesses | self._take_turn())
+                await self.read_from_peers(self.witnesses | self._choose_next())
             await anyio.sleep(self._interval_s())
 
-    async def take_news(self, instances: set[ids.InstanceId]) -> None:
-        """Asks several instances at the same time and takes their news in."""
+    async def read_from_peers(self, instances: set[ids.InstanceId]) -> None:
+        """Asks several instances concurrently and applies their records."""
         async with anyio.create_task_group() as tasks:
             for instance in instances - {self._me}:
-                tasks.start_soon(self._take_news_of, instance)
+                tasks.start_soon(self._read_from, instance)
 
     async def has_read(
         self, instance: ids.InstanceId, offset: ids.Offset
@@ -67,13 +69,13 @@
         """Returns whether an instance has certainly read a record."""
         if instance == self._me:
             return self._state.next_offset > offset
-        reply = await self._ask(instance, _NOTHING)
+        reply = await self._ask(instance, _BEYOND_ALL_RECORDS)
         return reply is not None and reply.next_offset > offset
 
     def answer(
         self, request: peer_protocol.NewsRequest
     ) -> peer_protocol.NewsReply:
-        """Tells another instance what this one has read."""
+        """Returns the records, or the state, that another instance lacks."""
         if self._state.awaits_snapshot:
             return peer_protocol.NewsReply(self._me, ids.Offset(0), [], None)
         records = self._state.list_recent(request.from_offset)
@@ -84,37 +86,42 @@
             snapshot=self._state.to_snapshot() if records is None else None,
         )
 
-    def _take_turn(self) -> set[ids.InstanceId]:
-        """Returns the next of the other listed instances, if there are any."""
+    def _choose_next(self) -> set[ids.InstanceId]:
+        """Returns the listed instance whose index it is, if there is any."""
         others = sorted(self._addresses.list_instances() - {self._me})
         if not others:
             return set()
-        turn = bisect.bisect_right(others, self._asked_last) % len(others)
-        self._asked_last = others[turn]
-        return {self._asked_last}
+        index = bisect.bisect_right(others, self._last_chosen) % len(others)
+        self._last_chosen = others[index]
+        return {self._last_chosen}
 
     def _interval_s(self) -> float:
-        """Returns how often others are asked."""
+        """Returns the interval between two rounds."""
         return (
-            self._authority.settings.authority_ms / 1_000 / _SHARE_OF_AUTHORITY
+            self._authority.settings.authority_ms
+            / 1_000
+            / _ROUNDS_PER_AUTHORITY
         )
 
-    async def _take_news_of(self, instance: ids.InstanceId) -> None:
-        """Asks one instance and takes its news in."""
+    async def _read_from(self, instance: ids.InstanceId) -> None:
+        """Asks one instance for records and applies them."""
         sent_s = self._clock.monotonic_s()
         reply = await self._ask(instance, self._state.next_offset)
         if reply is None:
             return
         if reply.snapshot is not None:
-            self._state.adopt(reply.snapshot)
-        self._state.apply_news(reply.records)
+            self._state.restore_from_peer(reply.snapshot)
+        self._state.apply_from_peer(reply.records)
         if reply.next_offset and reply.next_offset <= self._state.next_offset:
             self._authority.confirm(instance, sent_s)
 
     async def _ask(
         self, instance: ids.InstanceId, from_offset: ids.Offset
     ) -> peer_protocol.NewsReply | None:
-        """Returns an instance's news; None unless that very run answers."""
+        """Returns an instance's reply; None unless this very run of it replied.
+
+        Another run of it may have read less of the log.
+        """
         address = self._addresses.find_peer_address(instance)
         if address is None:
             return None
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
@@ -1,8 +1,8 @@
-"""The state that the log's control stream puts in force.
+"""The replicated state that an instance builds from the control stream.
 
-One stream of a place holds the changes of its settings and the claims and
-assignments of its services. Every instance folds it, so all of them come to
-the same state at the same offset.
+Each place has one control stream in the log. It contains the changes of the
+place's settings and the claims and assignments of its services. Every instance
+applies all records in order, so all have the same state at the same offset.
 """
 
 import collections
@@ -33,19 +33,19 @@
 
 
 class ControlSnapshot(NamedTuple):
-    """The whole state, as a snapshot keeps it."""
+    """The whole state, as stored in a snapshot."""
 
     settings: versions.SettingsVersion | None
     cells: list[cells.CellSnapshot]
 
 
 @dataclasses.dataclass(frozen=True)
-class UnreadableRecord:
-    """A record that no rule could be applied to."""
+class InvalidRecord:
+    """A record that was skipped because it is malformed or of unknown kind."""
 
-    # Where it is.
+    # The offset of the record in the control stream.
     offset: ids.Offset
-    # What is wrong with it.
+    # Why the record could not be applied.
     problem: str
 
 
@@ -54,14 +54,14 @@
 
 
 class ControlState:
-    """Folds the control stream; a ``follower.RecordHandler``."""
+    """Applies the control stream; a ``follower.RecordHandler``."""
 
     def __init__(self, ring: rings.Ring) -> None:
         """Starts with neither settings nor services."""
         self.settings = versions.SettingsState()
         self.cells: dict[ids.ServiceName, cells.Cell] = {}
         self.changed = notifier.Notifier()
-        self.unreadable: list[UnreadableRecord] = []
+        self.invalid_records: list[InvalidRecord] = []
         self.next_offset = ids.Offset(0)
         self.snapshot_as_of = ids.NO_OFFSET
         self.on_change: Callable[[], None] = lambda: None
@@ -69,34 +69,35 @@
         self._appender: appenders.Appender | None = None
         self._follower: followers.Follower | None = None
         self._assembler = snapshots.Assembler()
-        # The newest applied records, for instances that cannot reach the log.
+        # The newest applied records, for peers that cannot reach the log.
         self._recent: collections.deque[log_service.StoredRecord] = (
             collections.deque(maxlen=_RECENT_RECORDS)
         )
-        # Records since a gap; None while there is no gap.
+        # Records received since a gap in the stream, to be applied on top of
+        # the next snapshot; None if there is no gap.
         self._pending: list[log_service.StoredRecord] | None = None
 
     def attach(
         self, appender: appenders.Appender, follower: followers.Follower
     ) -> None:
-        """Names the appender that waits for verdicts, and the follower."""
+        """Sets the appender that waits for verdicts, and the follower."""
         self._appender = appender
         self._follower = follower
 
     @property
     def fresh_at_s(self) -> float:
-        """The monotonic time up to which every record is known applied."""
+        """The monotonic time up to which all records have been applied."""
         if self._follower is None or self._pending is not None:
             return -math.inf
         return self._follower.fresh_at_s
 
     @property
     def awaits_snapshot(self) -> bool:
-        """Whether records are missing until a snapshot comes."""
+        """Whether records are missing, so that a snapshot is needed."""
         return self._pending is not None
 
     def find_cell(self, service: ids.ServiceName) -> cells.Cell:
-        """Returns the cell of a service, made when first asked for."""
+        """Returns the cell of a service, creating it on first use."""
         if service not in self.cells:
             self.cells[service] = cells.Cell(service)
         return self.cells[service]
@@ -108,10 +109,14 @@
             self._apply_now(record)
             return
         self._pending.append(record)
-        self._look_for_snapshot(record)
+        self._try_snapshot(record)
 
     def restart(self, first_offset: ids.Offset) -> None:
-        """Waits for a snapshot that reaches up to the oldest record."""
+        """Handles an expired offset; see ``follower.RecordHandler.restart``.
+
+        If records are missing, the following ones are held back until a
+        snapshot is complete that covers the missing ones.
+        """
         self._pending = [] if first_offset > self.next_offset else None
         self._assembler = snapshots.Assembler()
 
@@ -121,7 +126,7 @@
         """Returns the applied records from an offset on.
 
         Returns:
-            None if the offset is no longer remembered.
+            The records, or None if the first of them is no longer cached.
         """
         if from_offset >= self.next_offset:
             return []
@@ -129,25 +134,25 @@
             return None
         return [r for r in self._recent if r.offset >= from_offset]
 
-    def apply_news(self, records: list[log_service.StoredRecord]) -> None:
-        """Applies records that another instance has read in the log."""
+    def apply_from_peer(self, records: list[log_service.StoredRecord]) -> None:
+        """Applies records that another instance has read from the log."""
         for record in records:
             if record.offset == self.next_offset:
                 self.apply(record)
-        self._move_follower()
+        self._advance_follower()
 
-    def adopt(self, snapshot: snapshots.Snapshot) -> None:
-        """Takes over a whole state that another instance has folded."""
+    def restore_from_peer(self, snapshot: snapshots.Snapshot) -> None:
+        """Restores a snapshot of another instance, unless it is older."""
         if snapshot.as_of < self.next_offset:
             return
         self._restore(snapshot)
         self.next_offset = ids.Offset(snapshot.as_of + 1)
         self._pending = None
-        self._move_follower()
-        self._tell_change()
+        self._advance_follower()
+        self._notify_change()
 
     def to_snapshot(self) -> snapshots.Snapshot:
-        """Returns the whole state at the newest record."""
+        """Returns a snapshot of the state as of the newest record."""
         state = ControlSnapshot(
             settings=self.settings.version,
             cells=[cell.to_snapshot() for cell in self.cells.values()],
@@ -156,13 +161,13 @@
         return snapshots.Snapshot(as_of, _SNAPSHOTS.encode(state))
 
     def _apply_now(self, record: log_service.StoredRecord) -> None:
-        """Applies a record on top of the state."""
+        """Applies a record to the state and reports its verdict."""
         self._recent.append(record)
         try:
             envelope = log_records.decode_envelope(record.data)
-            verdict = self._judge(record.offset, envelope)
+            verdict = self._apply_envelope(record.offset, envelope)
         except codec.CodecError as error:
-            self._note_unreadable(record.offset, str(error))
+            self._record_invalid(record.offset, str(error))
             return
         self._ring.clock.observe(envelope.stamp)
         if isinstance(verdict, appenders.Void):
@@ -174,19 +179,19 @@
             )
         if self._appender is not None:
             self._appender.report(envelope.record_id, verdict)
-        self._tell_change()
+        self._notify_change()
 
-    def _judge(
+    def _apply_envelope(
         self, offset: ids.Offset, envelope: log_records.Envelope
     ) -> appenders.Verdict:
-        """Applies an envelope by its kind."""
+        """Applies a decoded record according to its kind."""
         record = log_records.LogRecord(offset, envelope)
         if envelope.kind == versions.CHANGE_KIND:
             return self._apply_settings(record)
         if envelope.kind in _OWNERSHIP_KINDS:
             return self._apply_ownership(record)
         if envelope.kind == snapshots.CHUNK_KIND:
-            return self._note_chunk(offset, envelope.body)
+            return self._record_chunk(offset, envelope.body)
         raise codec.CodecError(f"unknown kind {envelope.kind!r}")
 
     def _apply_settings(
@@ -204,7 +209,7 @@
     def _apply_ownership(
         self, record: log_records.LogRecord
     ) -> appenders.Verdict:
-        """Applies a claim or an assignment to its service's cell."""
+        """Applies a claim or an assignment to the cell of its service."""
         service = _read_service(record.envelope)
         cell = self.find_cell(service)
         verdict = cell.apply(record)
@@ -215,57 +220,64 @@
             )
         return verdict
 
-    def _note_chunk(self, offset: ids.Offset, body: bytes) -> appenders.Verdict:
-        """Notes how far the newest snapshot reaches."""
+    def _record_chunk(
+        self, offset: ids.Offset, body: bytes
+    ) -> appenders.Verdict:
+        """Records the offset of the newest snapshot in the stream."""
         chunk = snapshots.decode_chunk(body)
         if chunk.part == chunk.parts - 1:
             self.snapshot_as_of = chunk.as_of
         return appenders.Applied(offset)
 
-    def _note_unreadable(self, offset: ids.Offset, problem: str) -> None:
-        """Keeps a record that could not be read as a finding."""
-        self.unreadable.append(UnreadableRecord(offset, problem))
+    def _record_invalid(self, offset: ids.Offset, problem: str) -> None:
+        """Records, logs and reports a record that could not be applied."""
+        self.invalid_records.append(InvalidRecord(offset, problem))
         self._ring.add(events.FaultSeen(f"record {offset}", problem))
-        loguru.logger.bind(offset=offset).error("unreadable: {}", problem)
+        loguru.logger.bind(offset=offset).error("invalid record: {}", problem)
 
-    def _look_for_snapshot(self, record: log_service.StoredRecord) -> None:
-        """Ends a gap if the record makes a snapshot whole."""
+    def _try_snapshot(self, record: log_service.StoredRecord) -> None:
+        """Closes the gap if the record completes a snapshot."""
         try:
             envelope = log_records.decode_envelope(record.data)
             if envelope.kind != snapshots.CHUNK_KIND:
                 return
-            whole = self._assembler.add(snapshots.decode_chunk(envelope.body))
+            snapshot = self._assembler.add(
+                snapshots.decode_chunk(envelope.body)
+            )
         except codec.CodecError:
             return
-        if whole is not None:
-            self._end_gap(whole)
+        if snapshot is not None:
+            self._close_gap(snapshot)
 
-    def _end_gap(self, whole: snapshots.Snapshot) -> None:
-        """Takes a snapshot over and applies the records that it lacks."""
+    def _close_gap(self, snapshot: snapshots.Snapshot) -> None:
+        """Restores a snapshot and applies the records after it.
+
+        A snapshot that ends before the first record held back is ignored.
+        """
         pending = self._pending or []
-        if not pending or whole.as_of < pending[0].offset - 1:
+        if not pending or snapshot.as_of < pending[0].offset - 1:
             return
-        self._restore(whole)
+        self._restore(snapshot)
         self._pending = None
         for record in pending:
-            if record.offset > whole.as_of:
+            if record.offset > snapshot.as_of:
                 self._apply_now(record)
-        self._tell_change()
+        self._notify_change()
 
-    def _restore(self, whole: snapshots.Snapshot) -> None:
-        """Takes the settings and cells of a snapshot over."""
-        state = _SNAPSHOTS.decode(whole.data)
+    def _restore(self, snapshot: snapshots.Snapshot) -> None:
+        """Replaces the settings and cells by those of a snapshot."""
+        state = _SNAPSHOTS.decode(snapshot.data)
         self.settings.restore(state.settings)
-        for kept in state.cells:
-            self.find_cell(kept.service).restore(kept)
+        for cell_snapshot in state.cells:
+            self.find_cell(cell_snapshot.service).restore(cell_snapshot)
 
-    def _move_follower(self) -> None:
-        """Has the follower go on behind what came from elsewhere."""
+    def _advance_follower(self) -> None:
+        """Moves the follower past records that came from a peer."""
         if self._follower is not None:
             self._follower.resume_at(self.next_offset)
 
-    def _tell_change(self) -> None:
-        """Wakes everybody who waits for a change."""
+    def _notify_change(self) -> None:
+        """Calls ``on_change`` and wakes all tasks waiting for a change."""
         self.on_change()
         self.changed.notify()
 
@@ -274,7 +286,7 @@
     """Returns the service that a claim or an assignment is about.
 
     Raises:
-        codec.CodecError: The body is damaged.
+        codec.CodecError: The body is corrupted.
     """
     if envelope.kind == ownership_records.CLAIM_KIND:
         return ownership_records.CLAIMS.decode(envelope.body).service
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -228,7 +228,7 @@
         """Takes a request to the owner of its key."""
         outcome = await self._services[request.service].router.handle(request)
         if not isinstance(outcome, outcomes.Answered):
-            self._failed_requests.note(request, outcome)
+            self._failed_requests.record(request, outcome)
         if isinstance(outcome, outcomes.NotRun):
             self._ring.add(
                 events.RequestRefused(
@@ -247,7 +247,7 @@
 
     def is_leaving(self) -> bool:
         """Returns whether the instance is stopping."""
-        return self._watcher.me_leaving
+        return self._watcher.self_leaving
 
     # What peers and the command-line tool ask for; see ``peer_server``.
 
@@ -281,7 +281,7 @@
         self, request: peer_protocol.Heartbeat
     ) -> peer_protocol.HeartbeatReply:
         """Takes the report of an instance."""
-        self._watcher.note_heard(request.instance, request.leaving)
+        self._watcher.record_contact(request.instance, request.leaving)
         self._add_reports(request)
         coordinates = [
             service
@@ -289,7 +289,7 @@
             if parts.cell.coordinator == self._me
         ]
         return peer_protocol.HeartbeatReply(
-            leaving=self._watcher.me_leaving,
+            leaving=self._watcher.self_leaving,
             coordinates=coordinates if self._authority.has_log() else [],
         )
 
@@ -370,14 +370,14 @@
         """Returns how the instance is."""
         age_s = min(self._control_follower.age_s(), 1e9)
         missing = self._list_missing()
-        if self._watcher.me_leaving:
+        if self._watcher.self_leaving:
             missing.append("the instance is stopping")
         return peer_protocol.InstanceStatus(
             instance=self._me,
             house=self._settings.house,
             place=self._settings.place,
             failure_domain=self._settings.failure_domain,
-            leaving=self._watcher.me_leaving,
+            leaving=self._watcher.self_leaving,
             not_ready=missing,
             settings_version=self.control.settings.offset,
             log_offset=self.control.next_offset - 1,
@@ -434,7 +434,7 @@
             if self._control_follower.caught_up.is_set():
                 return
             instances = set(self._membership.list_instances())
-            await self._peer_log_reader.take_news(instances)
+            await self._peer_log_reader.read_from_peers(instances)
             if self.control.settings.house is not None:
                 return
 
@@ -494,7 +494,7 @@
                 heartbeat = by_coordinator.setdefault(
                     coordinator,
                     peer_protocol.Heartbeat(
-                        self._me, self._watcher.me_leaving, []
+                        self._me, self._watcher.self_leaving, []
                     ),
                 )
                 heartbeat.reports.append(report)
@@ -525,7 +525,7 @@
 
     async def _drain(self) -> None:
         """Hands the servers over and waits for requests in flight."""
-        self._watcher.me_leaving = True
+        self._watcher.self_leaving = True
         self._ring.add(events.DrainBegan(self._in_flight))
         loguru.logger.info("draining {} requests", self._in_flight)
         policy = self._place_policy()
--- a/libs/bridgecross-daemon/tests/test_control.py
+++ b/libs/bridgecross-daemon/tests/test_control.py
@@ -18,12 +18,12 @@
 RAPOR = ids.ServiceName("rapor")
 
 
-def _state() -> control.ControlState:
+def _make_state() -> control.ControlState:
     stamped = hybrid_clock.HybridClock(clock.SystemClock())
     return control.ControlState(ring.Ring(ring.RingSettings("t"), stamped))
 
 
-def _store(offset: int, kind: str, body: bytes) -> service.StoredRecord:
+def _make_record(offset: int, kind: str, body: bytes) -> service.StoredRecord:
     envelope = records.Envelope(
         f"r{offset}", kind, "w", hybrid_clock.Timestamp(0, 0), body
     )
@@ -32,78 +32,84 @@
     )
 
 
-def _change(offset: int, base: int) -> service.StoredRecord:
+def _make_change(offset: int, base: int) -> service.StoredRecord:
     change = versions.SettingsChange(
         ids.Offset(base), "ayse", "", codec.to_json(DOCUMENT).encode()
     )
-    return _store(offset, versions.CHANGE_KIND, versions.encode_change(change))
+    return _make_record(
+        offset, versions.CHANGE_KIND, versions.encode_change(change)
+    )
 
 
-def _claim(offset: int, supersedes: int) -> service.StoredRecord:
+def _make_claim(offset: int, supersedes: int) -> service.StoredRecord:
     claim = ownership.Claim(RAPOR, ids.Term(supersedes), ids.InstanceId("a"), 4)
-    return _store(offset, ownership.CLAIM_KIND, ownership.CLAIMS.encode(claim))
+    return _make_record(
+        offset, ownership.CLAIM_KIND, ownership.CLAIMS.encode(claim)
+    )
 
 
-def _snapshot(state: control.ControlState, offset: int):
-    whole = state.to_snapshot()
+def _make_chunks(state: control.ControlState, offset: int):
+    complete = state.to_snapshot()
     return [
-        _store(offset + i, snapshot.CHUNK_KIND, snapshot.encode_chunk(chunk))
-        for i, chunk in enumerate(snapshot.split_snapshot(whole, "s"))
+        _make_record(
+            offset + i, snapshot.CHUNK_KIND, snapshot.encode_chunk(chunk)
+        )
+        for i, chunk in enumerate(snapshot.split_snapshot(complete, "s"))
     ]
 
 
-def test_records_that_cannot_be_read_are_findings_and_change_nothing():
-    state = _state()
-    state.apply(_change(0, -1))
+def test_invalid_records_are_reported_and_change_nothing():
+    state = _make_state()
+    state.apply(_make_change(0, -1))
     state.apply(service.StoredRecord(ids.Offset(1), b"\xc1 not ours"))
-    state.apply(_store(2, "a-kind-of-tomorrow", b""))
-    state.apply(_claim(3, -1))
-    assert [r.offset for r in state.unreadable] == [1, 2]
+    state.apply(_make_record(2, "a-kind-of-tomorrow", b""))
+    state.apply(_make_claim(3, -1))
+    assert [r.offset for r in state.invalid_records] == [1, 2]
     assert state.settings.offset == 0
     assert state.find_cell(RAPOR).term == 3
 
 
-def test_a_reader_resumes_from_a_snapshot_after_a_retention_cut():
-    whole = _state()
-    stream = [_change(0, -1), _claim(1, -1)]
+def test_a_reader_resumes_from_a_snapshot_after_records_expired():
+    complete = _make_state()
+    stream = [_make_change(0, -1), _make_claim(1, -1)]
     for record in stream:
-        whole.apply(record)
-    stream += _snapshot(whole, 2)
-    stream.append(_claim(len(stream), 1))
-    late = _state()
+        complete.apply(record)
+    stream += _make_chunks(complete, 2)
+    stream.append(_make_claim(len(stream), 1))
+    late = _make_state()
     late.restart(ids.Offset(2))
     assert late.awaits_snapshot
     for record in stream[2:]:
         late.apply(record)
     for record in stream[2:]:
-        whole.apply(record)
+        complete.apply(record)
     assert not late.awaits_snapshot
-    assert late.settings.offset == whole.settings.offset == 0
+    assert late.settings.offset == complete.settings.offset == 0
     assert (
         late.find_cell(RAPOR).to_snapshot()
-        == whole.find_cell(RAPOR).to_snapshot()
+        == complete.find_cell(RAPOR).to_snapshot()
     )
 
 
-def test_without_a_whole_snapshot_a_reader_waits():
-    whole = _state()
-    whole.apply(_change(0, -1))
-    late = _state()
+def test_a_reader_waits_for_a_snapshot_that_covers_the_gap():
+    complete = _make_state()
+    complete.apply(_make_change(0, -1))
+    late = _make_state()
     late.restart(ids.Offset(5))
-    late.apply(_claim(5, -1))
-    for record in _snapshot(whole, 6):
+    late.apply(_make_claim(5, -1))
+    for record in _make_chunks(complete, 6):
         late.apply(record)
     assert late.awaits_snapshot, "the snapshot does not reach offset 5"
     assert late.settings.house is None
 
 
-def test_a_peers_snapshot_never_takes_a_reader_back():
-    old = _state()
-    old.apply(_change(0, -1))
+def test_an_older_snapshot_of_a_peer_is_ignored():
+    old = _make_state()
+    old.apply(_make_change(0, -1))
     kept = old.to_snapshot()
-    old.apply(_change(1, 0))
-    old.adopt(kept)
+    old.apply(_make_change(1, 0))
+    old.restore_from_peer(kept)
     assert old.settings.offset == 1
-    fresh = _state()
-    fresh.adopt(old.to_snapshot())
+    fresh = _make_state()
+    fresh.restore_from_peer(old.to_snapshot())
     assert (fresh.settings.offset, fresh.next_offset) == (1, 2)
--- a/libs/bridgecross-daemon/tests/test_failed_request_log.py
+++ b/libs/bridgecross-daemon/tests/test_failed_request_log.py
@@ -22,7 +22,7 @@
         return self.now_s
 
 
-def _request(number: int) -> requests.Request:
+def _make_request(number: int) -> requests.Request:
     return requests.Request(
         request_id=f"id-{number}",
         service=ids.ServiceName("rapor"),
@@ -46,35 +46,35 @@
     loguru.logger.remove(sink)
 
 
-def test_a_line_names_the_request_its_outcome_and_the_reason(lines):
+def test_a_line_contains_the_request_its_outcome_and_the_reason(lines):
     log = _failed_request_log.FailedRequestLog(
         ids.InstanceId("entry-1"), Clock()
     )
-    log.note(_request(1), UNKNOWN)
+    log.record(_make_request(1), UNKNOWN)
     assert lines == [
         "entry-1: id-1 rapor/k Unknown: the server did not answer; "
         "3.000 s left, 0 more like it\n"
     ]
 
 
-def test_many_alike_are_one_line_a_second_and_counted(lines):
+def test_requests_of_one_kind_are_logged_once_a_second_with_a_count(lines):
     clock = Clock()
     log = _failed_request_log.FailedRequestLog(ids.InstanceId("entry-1"), clock)
     for number in range(50):
-        log.note(_request(number), UNKNOWN)
-    log.note(_request(50), NOT_RUN)
+        log.record(_make_request(number), UNKNOWN)
+    log.record(_make_request(50), NOT_RUN)
     assert len(lines) == 2
     clock.now_s += 1.0
-    log.note(_request(51), UNKNOWN)
+    log.record(_make_request(51), UNKNOWN)
     assert "id-51" in lines[2]
     assert "49 more like it" in lines[2]
 
 
-def test_reasons_without_end_take_no_memory_without_end(lines):
+def test_memory_is_bounded_if_every_reason_is_different(lines):
     clock = Clock()
     log = _failed_request_log.FailedRequestLog(ids.InstanceId("entry-1"), clock)
     for number in range(1_000):
         clock.now_s += 0.1
-        log.note(_request(number), outcomes.Unknown(f"reason {number}"))
+        log.record(_make_request(number), outcomes.Unknown(f"reason {number}"))
     assert len(lines) == 1_000
-    assert len(log._told) <= 100
+    assert len(log._last_lines) <= 100
--- a/libs/bridgecross-daemon/tests/test_peer_log_reader.py
+++ b/libs/bridgecross-daemon/tests/test_peer_log_reader.py
@@ -27,8 +27,8 @@
 SETTINGS = authorities.AuthoritySettings(authority_ms=50)
 
 
-class _LogNews:
-    """What is known of the log; see ``authority.LogView``."""
+class _FixedLogView:
+    """An ``authority.LogView`` of fixed freshness."""
 
     awaits_snapshot = False
 
@@ -37,7 +37,7 @@
 
 
 class _Peers:
-    """Carries questions for news; a ``ports.PeerCaller``."""
+    """Passes requests to the readers; a ``ports.PeerCaller``."""
 
     def __init__(self) -> None:
         self.readers: dict[str, _peer_log_reader.PeerLogReader] = {}
@@ -50,8 +50,8 @@
         return self.readers[address].answer(request)
 
 
-def _publish(offset: int) -> log_service.StoredRecord:
-    """Returns a change of the settings, each on top of the one before."""
+def _make_change(offset: int) -> log_service.StoredRecord:
+    """Returns a settings change based on the one at the offset before."""
     change = versions.SettingsChange(
         ids.Offset(offset - 1), "ayse", "", codec.to_json(DOCUMENT).encode()
     )
@@ -67,7 +67,7 @@
     )
 
 
-def _start(
+def _add_instance(
     name: str, peers: _Peers, *, read: int, fresh_at_s: float
 ) -> control.ControlState:
     """Starts an instance that has read some records, and returns its state."""
@@ -75,7 +75,7 @@
     hybrid = hybrid_clock.HybridClock(clock)
     state = control.ControlState(rings.Ring(rings.RingSettings(name), hybrid))
     for offset in range(read):
-        state.apply(_publish(offset))
+        state.apply(_make_change(offset))
     membership = memberships.Membership()
     membership.replace(
         [
@@ -93,7 +93,7 @@
     peers.readers[name] = _peer_log_reader.PeerLogReader(
         ids.InstanceId(name),
         state,
-        authorities.Authority(SETTINGS, _LogNews(fresh_at_s), clock),
+        authorities.Authority(SETTINGS, _FixedLogView(fresh_at_s), clock),
         peers,
         _platform.Addresses(membership),
         clock,
@@ -101,34 +101,37 @@
     return state
 
 
-async def _run(reader: _peer_log_reader.PeerLogReader) -> None:
+async def _run_briefly(reader: _peer_log_reader.PeerLogReader) -> None:
     with anyio.move_on_after(0.3):
         await reader.run()
 
 
-async def test_an_instance_without_witnesses_learns_what_others_read():
-    """The log turns away this one alone; b is as far behind, d is gone."""
+async def test_an_instance_without_witnesses_reads_from_other_instances():
+    """Only this instance has no access to the log.
+
+    Instance b has read no more than it, c has, and d does not answer.
+    """
     peers = _Peers()
-    state = _start("a", peers, read=1, fresh_at_s=-math.inf)
-    _start("b", peers, read=1, fresh_at_s=-math.inf)
-    _start("c", peers, read=2, fresh_at_s=math.inf)
-    await _run(peers.readers["a"])
+    state = _add_instance("a", peers, read=1, fresh_at_s=-math.inf)
+    _add_instance("b", peers, read=1, fresh_at_s=-math.inf)
+    _add_instance("c", peers, read=2, fresh_at_s=math.inf)
+    await _run_briefly(peers.readers["a"])
     assert state.settings.offset == 1
     assert set(peers.asked) == {"b", "c", "d"}
 
 
-async def test_witnesses_that_are_behind_are_not_the_only_ones_asked():
+async def test_other_instances_are_asked_if_the_witnesses_are_behind():
     peers = _Peers()
-    state = _start("a", peers, read=1, fresh_at_s=-math.inf)
-    _start("b", peers, read=1, fresh_at_s=-math.inf)
-    _start("c", peers, read=2, fresh_at_s=math.inf)
+    state = _add_instance("a", peers, read=1, fresh_at_s=-math.inf)
+    _add_instance("b", peers, read=1, fresh_at_s=-math.inf)
+    _add_instance("c", peers, read=2, fresh_at_s=math.inf)
     peers.readers["a"].witnesses = {ids.InstanceId("b")}
-    await _run(peers.readers["a"])
+    await _run_briefly(peers.readers["a"])
     assert state.settings.offset == 1
 
 
-async def test_nobody_is_asked_while_the_log_answers():
+async def test_no_instance_is_asked_while_the_log_is_available():
     peers = _Peers()
-    _start("a", peers, read=1, fresh_at_s=math.inf)
-    await _run(peers.readers["a"])
+    _add_instance("a", peers, read=1, fresh_at_s=math.inf)
+    await _run_briefly(peers.readers["a"])
     assert peers.asked == []
--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from bridgecross_daemon import _news
+from bridgecross_daemon import _peer_log_reader
 from bridgecross_ownership import _prior_owners
 from bridgecross_ownership import authority
 from bridgecross_ownership import cell
@@ -92,7 +92,7 @@
     async def has_read(self: Any, instance: Any, offset: Any) -> bool:
         return True
 
-    monkeypatch.setattr(_news.NewsReader, "has_read", has_read)
+    monkeypatch.setattr(_peer_log_reader.PeerLogReader, "has_read", has_read)
 
 
 def _earlier_fronts_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
