--- a/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
@@ -168,10 +168,10 @@
     """Returns which paths two changes of the same base have in common."""
     newest = state.version
     if base is None:
-        base = state.find_earlier(wanted.base)
+        base = state.find_recent(wanted.base)
     clashes = None
     if base is not None and newest is not None:
-        clashes = versions.list_clashes(
+        clashes = versions.list_conflicts(
             _read_document(base),
             wanted.house.document,
             _read_document(newest),
--- a/libs/bridgecross-settings/src/bridgecross_settings/__init__.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/__init__.py
@@ -1,10 +1,11 @@
-"""The settings of a house: a tree that inherits from level to level.
+"""The settings of a house: a tree whose levels inherit from those above.
 
-* ``policy``: every field that a level may set, with its unit and range.
-* ``tree``: house, place, service and tier, and what is in effect where.
-* ``check``: reads JSON with comments and reports every finding at once.
-* ``process``: what one process is told when it starts.
-* ``versions``: the fold of published changes; each names the one it edits.
+* ``policy``: the fields that a level may set, with their units and ranges.
+* ``tree``: the levels (house, place, service and tier), and the effective
+  values of each node.
+* ``check``: parses and validates JSON with comments.
+* ``process``: the settings that one process reads when it starts.
+* ``versions``: the versions of the settings, from the changes in the log.
 """
 
 __all__ = ["check", "policy", "process", "tree", "versions"]
--- a/libs/bridgecross-settings/src/bridgecross_settings/_positions.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/_positions.py
@@ -1,4 +1,4 @@
-"""JSON with comments to plain values, with the line of every path."""
+"""Parses JSON with comments into plain values and their line numbers."""
 
 from typing import Any
 from typing import NamedTuple
@@ -10,22 +10,26 @@
 from bridgecross_core import findings
 
 Path = tuple[str, ...]
-"""The way from the root to a value: field names and list indices."""
+"""The field names and list indices from the root to a value."""
 
 
-class Located(NamedTuple):
-    """A document with the place of each of its values."""
+class ParsedDocument(NamedTuple):
+    """A parsed document.
+
+    ``lines`` are the line numbers of its values by path, and ``duplicates`` are
+    the paths of fields that occur more than once in their object.
+    """
 
     document: Any
     lines: dict[Path, int]
-    repeated: list[Path]
+    duplicates: list[Path]
 
 
-class NotJsonError(ValueError):
+class JsonSyntaxError(ValueError):
     """The text is not JSON with comments."""
 
     def __init__(self, finding: findings.Finding) -> None:
-        """Keeps the one finding that ends the reading."""
+        """Stores the finding that describes the syntax error."""
         self.finding = finding
         super().__init__(str(finding))
 
@@ -35,23 +39,24 @@
     return ".".join(path)
 
 
-def read_located(text: str, source: str) -> Located:
-    """Reads JSON with comments.
+def parse(text: str, source: str) -> ParsedDocument:
+    """Parses JSON with comments.
 
     Args:
         text: The document's text.
-        source: Where the text comes from, for the finding.
+        source: The origin of the text, used in the finding.
 
     Raises:
-        NotJsonError: The text cannot be parsed; it names line and column.
+        JsonSyntaxError: The text cannot be parsed; the message contains the
+            line and column.
     """
     try:
         root = parser.parse_source(text).value
     except utils.JSON5DecodeError as error:
-        raise NotJsonError(_describe_syntax_error(error, source)) from error
-    located = Located(None, {(): 1}, [])
-    document = _convert(root, (), located)
-    return located._replace(document=document)
+        raise JsonSyntaxError(_describe_syntax_error(error, source)) from error
+    parsed = ParsedDocument(None, {(): 1}, [])
+    document = _convert(root, (), parsed)
+    return parsed._replace(document=document)
 
 
 def _describe_syntax_error(
@@ -65,44 +70,44 @@
     )
 
 
-def _convert(node: Any, path: Path, located: Located) -> Any:
-    """Returns the plain value of a node and notes the lines below it."""
+def _convert(node: Any, path: Path, parsed: ParsedDocument) -> Any:
+    """Returns the plain value of a node; stores the lines of its children."""
     if isinstance(node, model.JSONObject):
-        return _convert_object(node, path, located)
+        return _convert_object(node, path, parsed)
     if isinstance(node, model.JSONArray):
-        return _convert_array(node, path, located)
+        return _convert_array(node, path, parsed)
     return _convert_scalar(node)
 
 
 def _convert_object(
-    node: model.JSONObject, path: Path, located: Located
+    node: model.JSONObject, path: Path, parsed: ParsedDocument
 ) -> dict[str, Any]:
-    """Returns an object; a repeated field is noted and the last one kept."""
+    """Returns a plain object; of duplicate fields, the last one is kept."""
     result: dict[str, Any] = {}
     for pair in node.key_value_pairs:
         name = str(_convert_scalar(pair.key))
         child = (*path, name)
         if name in result:
-            located.repeated.append(child)
-        located.lines[child] = pair.key.lineno or 0
-        result[name] = _convert(pair.value, child, located)
+            parsed.duplicates.append(child)
+        parsed.lines[child] = pair.key.lineno or 0
+        result[name] = _convert(pair.value, child, parsed)
     return result
 
 
 def _convert_array(
-    node: model.JSONArray, path: Path, located: Located
+    node: model.JSONArray, path: Path, parsed: ParsedDocument
 ) -> list[Any]:
-    """Returns a list."""
+    """Returns the plain list of an array node."""
     result = []
     for index, value in enumerate(node.values):
         child = (*path, str(index))
-        located.lines[child] = value.lineno or 0
-        result.append(_convert(value, child, located))
+        parsed.lines[child] = value.lineno or 0
+        result.append(_convert(value, child, parsed))
     return result
 
 
 def _convert_scalar(node: Any) -> Any:
-    """Returns a string, number, boolean or null."""
+    """Returns the string, number, boolean or null of a scalar node."""
     match node:
         case model.String() as text:
             return text.characters
--- a/libs/bridgecross-settings/src/bridgecross_settings/_schema.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/_schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of the settings document, made from the policy's types."""
+"""Builds the JSON Schemas of settings from the types of their fields."""
 
 import copy
 from typing import Any
@@ -15,17 +15,17 @@
 
 def build_house_schema() -> Schema:
     """Returns the schema of a whole house document."""
-    tier = _object(
+    tier = _level_schema(
         policy.Level.TIER,
         {"priority": {"type": "integer", "minimum": 1, "maximum": 100}},
         required=["priority"],
     )
-    service = _object(
+    service = _level_schema(
         policy.Level.SERVICE,
-        {"tiers": _named(tier)},
+        {"tiers": _map_schema(tier)},
         required=["tiers"],
     )
-    place = _object(
+    place = _level_schema(
         policy.Level.PLACE,
         {
             "failure_domains": {
@@ -34,29 +34,29 @@
                 "minItems": 1,
                 "uniqueItems": True,
             },
-            "services": _named(service),
+            "services": _map_schema(service),
         },
         required=["failure_domains", "services"],
     )
-    return _object(
+    return _level_schema(
         policy.Level.HOUSE,
         {
             "house": {"type": "string", "pattern": _NAME_PATTERN},
-            "places": _named(place),
-            "callers": _named(_caller()),
+            "places": _map_schema(place),
+            "callers": _map_schema(_caller_schema()),
         },
         required=["house", "places", "callers"],
     )
 
 
 def build_dataclass_schema(value_type: type) -> Schema:
-    """Returns the schema of a dataclass; unknown fields are refused."""
+    """Returns the schema of a dataclass, without additional fields."""
     _, components = msgspec.json.schema_components([value_type])
     schema: Schema = components[value_type.__name__]
     return schema | {"additionalProperties": False}
 
 
-def _caller() -> Schema:
+def _caller_schema() -> Schema:
     """Returns the schema of one caller."""
     return {
         "type": "object",
@@ -76,8 +76,8 @@
     }
 
 
-def _named(schema: Schema) -> Schema:
-    """Returns the schema of an object from names to ``schema``."""
+def _map_schema(schema: Schema) -> Schema:
+    """Returns the schema of an object that maps names to ``schema``."""
     return {
         "type": "object",
         "propertyNames": {"pattern": _NAME_PATTERN},
@@ -86,17 +86,25 @@
     }
 
 
-def _object(level: policy.Level, own: Schema, required: list[str]) -> Schema:
-    """Returns the schema of a level: its own fields and the policy's."""
+def _level_schema(
+    level: policy.Level, own: Schema, required: list[str]
+) -> Schema:
+    """Returns the schema of a level.
+
+    Args:
+        level: The level, which decides what policy fields may be set.
+        own: The schemas of the fields that only this level has.
+        required: The names of the required fields.
+    """
     return {
         "type": "object",
-        "properties": own | _policy_properties(level),
+        "properties": own | _policy_schemas(level),
         "required": required,
         "additionalProperties": False,
     }
 
 
-def _policy_properties(level: policy.Level) -> Schema:
+def _policy_schemas(level: policy.Level) -> Schema:
     """Returns the schemas of the policy fields that a level may set."""
     _, components = msgspec.json.schema_components([policy.Policy])
     properties = copy.deepcopy(components["Policy"]["properties"])
@@ -108,5 +116,5 @@
 
 
 def _without_default(schema: Schema) -> Schema:
-    """Returns the schema without the default, which inheritance decides."""
+    """Returns a schema without its default: a missing field is inherited."""
     return {key: value for key, value in schema.items() if key != "default"}
--- a/libs/bridgecross-settings/src/bridgecross_settings/check.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/check.py
@@ -1,4 +1,4 @@
-"""Reads settings as JSON with comments and reports every finding at once."""
+"""Parses and validates settings, and reports all findings together."""
 
 from collections.abc import Iterator
 import difflib
@@ -18,104 +18,108 @@
 
 
 def check_text(text: str, source: str) -> tree.House:
-    """Checks a house's settings as an operator wrote them.
+    """Parses and validates the settings of a house.
 
     Args:
         text: JSON with comments.
-        source: The file's name, for the findings.
+        source: The file's name, used in findings.
 
     Returns:
-        The house.
+        A view of the document.
 
     Raises:
-        findings.FindingsError: With every problem and its line.
+        findings.FindingsError: The document is invalid; contains every problem
+            with its line.
     """
-    located = _read(text, source)
-    found = _list_repeated(located, source)
-    found.extend(_list_findings(located, source))
+    parsed = _parse(text, source)
+    found = _list_duplicates(parsed, source)
+    found.extend(_list_document_findings(parsed, source))
     if found:
-        raise findings.FindingsError(_sorted(found))
-    return tree.House(located.document)
+        raise findings.FindingsError(_sort_by_position(found))
+    return tree.House(parsed.document)
 
 
 def check_document(document: Any, source: str) -> tree.House:
-    """Checks a settings document that carries no lines, such as a record.
+    """Validates a parsed document without line numbers, such as a record's.
 
     Raises:
-        findings.FindingsError: With every problem and its path.
+        findings.FindingsError: The document is invalid; contains every problem
+            with its path.
     """
-    located = _positions.Located(document, {}, [])
-    found = list(_list_findings(located, source))
+    parsed = _positions.ParsedDocument(document, {}, [])
+    found = list(_list_document_findings(parsed, source))
     if found:
-        raise findings.FindingsError(_sorted(found))
+        raise findings.FindingsError(_sort_by_position(found))
     return tree.House(document)
 
 
 def check_dataclass(text: str, source: str, value_type: type[T]) -> T:
-    """Checks a flat document against the fields of a dataclass.
+    """Parses a flat document and validates it against a dataclass.
 
     Args:
         text: JSON with comments.
-        source: The file's name, for the findings.
-        value_type: The dataclass; ``msgspec.Meta`` gives the ranges.
+        source: The file's name, used in findings.
+        value_type: The dataclass; its ``msgspec.Meta`` annotations define the
+            ranges.
 
     Raises:
-        findings.FindingsError: With every problem and its line.
+        findings.FindingsError: The document is invalid; contains every problem
+            with its line.
     """
-    located = _read(text, source)
+    parsed = _parse(text, source)
     validator = jsonschema.Draft202012Validator(
         _schema.build_dataclass_schema(value_type)
     )
-    found = _list_repeated(located, source)
-    for error in validator.iter_errors(located.document):
-        found.extend(_describe(error, located, source))
+    found = _list_duplicates(parsed, source)
+    for error in validator.iter_errors(parsed.document):
+        found.extend(_convert_schema_error(error, parsed, source))
     if found:
-        raise findings.FindingsError(_sorted(found))
-    return msgspec.convert(located.document, value_type)
+        raise findings.FindingsError(_sort_by_position(found))
+    return msgspec.convert(parsed.document, value_type)
 
 
-def _read(text: str, source: str) -> _positions.Located:
-    """Reads JSON with comments."""
+def _parse(text: str, source: str) -> _positions.ParsedDocument:
+    """Parses JSON with comments; a syntax error is raised as a finding."""
     try:
-        return _positions.read_located(text, source)
-    except _positions.NotJsonError as error:
+        return _positions.parse(text, source)
+    except _positions.JsonSyntaxError as error:
         raise findings.FindingsError([error.finding]) from error
 
 
-def _list_repeated(
-    located: _positions.Located, source: str
+def _list_duplicates(
+    parsed: _positions.ParsedDocument, source: str
 ) -> list[findings.Finding]:
-    """Returns a finding for each field that appears twice."""
+    """Returns a finding for each duplicate field."""
     return [
-        _locate(located, source, path, "the field appears twice", "")
-        for path in located.repeated
+        _make_finding(parsed, source, path, "the field appears twice", "")
+        for path in parsed.duplicates
     ]
 
 
 @functools.cache
 def _validator() -> jsonschema.Draft202012Validator:
-    """Returns the validator of house documents, built once."""
+    """Returns the validator of house documents."""
     return jsonschema.Draft202012Validator(_schema.build_house_schema())
 
 
-def _list_findings(
-    located: _positions.Located, source: str
+def _list_document_findings(
+    parsed: _positions.ParsedDocument, source: str
 ) -> Iterator[findings.Finding]:
-    """Yields each problem of a document."""
-    broken = False
-    for error in _validator().iter_errors(located.document):
-        broken = True
-        yield from _describe(error, located, source)
-    if not broken or isinstance(located.document, dict):
-        yield from _list_references(located, source)
+    """Yields a finding for each problem except duplicate fields."""
+    has_schema_errors = False
+    for error in _validator().iter_errors(parsed.document):
+        has_schema_errors = True
+        yield from _convert_schema_error(error, parsed, source)
+    if not has_schema_errors or isinstance(parsed.document, dict):
+        yield from _list_reference_findings(parsed, source)
 
 
-def _describe(
+def _convert_schema_error(
     error: jsonschema.ValidationError,
-    located: _positions.Located,
+    parsed: _positions.ParsedDocument,
     source: str,
 ) -> Iterator[findings.Finding]:
-    """Yields the findings that one schema error stands for."""
+    """Yields the findings for one schema error."""
     path = tuple(str(part) for part in error.absolute_path)
     if error.validator == "additionalProperties":
         schema: Any = error.schema
@@ -123,69 +127,74 @@
         instance: Any = error.instance
         for name in instance:
             if name not in known:
-                yield _describe_unknown(located, source, (*path, name), known)
+                yield _make_unknown_field_finding(
+                    parsed, source, (*path, name), known
+                )
         return
     hint = ""
     problem = error.message
     if error.validator == "pattern":
         hint = f"must match {error.validator_value}"
         problem = f"{error.instance!r} is not well formed"
-    yield _locate(located, source, path, problem, hint)
+    yield _make_finding(parsed, source, path, problem, hint)
 
 
-def _describe_unknown(
-    located: _positions.Located,
+def _make_unknown_field_finding(
+    parsed: _positions.ParsedDocument,
     source: str,
     path: _positions.Path,
     known: list[str],
 ) -> findings.Finding:
-    """Returns the finding for a field that does not exist at its level."""
+    """Returns a finding for an unknown field, with the closest known name."""
     name = path[-1]
     close = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
     hint = f"did you mean {close[0]}?" if close else ""
     problem = f"unknown field {name!r} at this level"
-    return _locate(located, source, path, problem, hint)
+    return _make_finding(parsed, source, path, problem, hint)
 
 
-def _list_references(
-    located: _positions.Located, source: str
+def _list_reference_findings(
+    parsed: _positions.ParsedDocument, source: str
 ) -> Iterator[findings.Finding]:
-    """Yields a finding for each caller's tier that does not exist."""
-    document = located.document
+    """Yields a finding for each tier of a caller that does not exist.
+
+    Credentials that several callers share are reported as well.
+    """
+    document = parsed.document
     tiers = _collect_tiers(document)
     for caller, node in _items(document.get("callers")):
-        bought = node.get("tiers") if isinstance(node, dict) else None
-        for service, tier in _items(bought):
+        tiers_by_service = node.get("tiers") if isinstance(node, dict) else None
+        for service, tier in _items(tiers_by_service):
             path = ("callers", caller, "tiers", service)
             if service not in tiers:
                 hint = f"known: {', '.join(sorted(tiers)) or 'none'}"
                 problem = f"no service {service!r}"
-                yield _locate(located, source, path, problem, hint)
+                yield _make_finding(parsed, source, path, problem, hint)
             elif tier not in tiers[service]:
                 hint = f"known: {', '.join(sorted(tiers[service])) or 'none'}"
                 problem = f"service {service!r} has no tier {tier!r}"
-                yield _locate(located, source, path, problem, hint)
-    yield from _list_shared_credentials(located, source)
+                yield _make_finding(parsed, source, path, problem, hint)
+    yield from _list_shared_credentials(parsed, source)
 
 
 def _list_shared_credentials(
-    located: _positions.Located, source: str
+    parsed: _positions.ParsedDocument, source: str
 ) -> Iterator[findings.Finding]:
-    """Yields a finding for each credential that two callers share."""
+    """Yields a finding for each credential that an earlier caller also has."""
     seen: dict[str, str] = {}
-    for caller, node in _items(located.document.get("callers")):
+    for caller, node in _items(parsed.document.get("callers")):
         digest = node.get("credential_sha256") if isinstance(node, dict) else 0
         if not isinstance(digest, str):
             continue
         if digest in seen:
             path = ("callers", caller, "credential_sha256")
             problem = f"the credential is also that of {seen[digest]!r}"
-            yield _locate(located, source, path, problem, "")
+            yield _make_finding(parsed, source, path, problem, "")
         seen.setdefault(digest, caller)
 
 
 def _collect_tiers(document: dict[str, Any]) -> dict[str, set[str]]:
-    """Returns the tiers by ``place/service``, as far as they can be read."""
+    """Returns the tiers by ``place/service``; malformed nodes are skipped."""
     tiers: dict[str, set[str]] = {}
     for place, place_node in _items(document.get("places")):
         services = (
@@ -198,27 +207,27 @@
 
 
 def _items(node: Any) -> list[tuple[str, Any]]:
-    """Returns the fields of an object, and none of anything else."""
+    """Returns the fields of an object, or an empty list for other types."""
     return list(node.items()) if isinstance(node, dict) else []
 
 
-def _locate(
-    located: _positions.Located,
+def _make_finding(
+    parsed: _positions.ParsedDocument,
     source: str,
     path: _positions.Path,
     problem: str,
     hint: str,
 ) -> findings.Finding:
-    """Returns a finding with the line of its path or nearest parent."""
+    """Returns a finding with the line of its path or its closest ancestor."""
     line = 0
     for depth in range(len(path), -1, -1):
-        line = located.lines.get(path[:depth], 0)
+        line = parsed.lines.get(path[:depth], 0)
         if line:
             break
     place = findings.Place(source, line, _positions.render_path(path))
     return findings.Finding(place, problem, hint)
 
 
-def _sorted(found: list[findings.Finding]) -> list[findings.Finding]:
-    """Returns the findings in the order of the text."""
+def _sort_by_position(found: list[findings.Finding]) -> list[findings.Finding]:
+    """Returns the findings in the order of their positions."""
     return sorted(found, key=lambda f: (f.place.line, f.place.path, f.problem))
--- a/libs/bridgecross-settings/src/bridgecross_settings/policy.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/policy.py
@@ -1,7 +1,8 @@
-"""Every field that a level of the settings tree may set.
+"""The fields that a level of the settings tree may set.
 
-A field is set at the highest level that it holds for and overridden below.
-Each field names its unit as a suffix; its type carries the allowed range.
+A value applies to the level that sets it and to all levels below that do not
+override it. The suffix of a field is its unit, and its type annotation
+contains the allowed range.
 """
 
 import dataclasses
@@ -23,10 +24,10 @@
     TIER = 3
 
 
-_DEEPEST = "deepest"
-_AT_TIER = {_DEEPEST: Level.TIER}
-_AT_SERVICE = {_DEEPEST: Level.SERVICE}
-_AT_PLACE = {_DEEPEST: Level.PLACE}
+_DEEPEST_KEY = "deepest"
+_DOWN_TO_TIER = {_DEEPEST_KEY: Level.TIER}
+_DOWN_TO_SERVICE = {_DEEPEST_KEY: Level.SERVICE}
+_DOWN_TO_PLACE = {_DEEPEST_KEY: Level.PLACE}
 
 _MINUTE_MS = 60_000
 _MEBIBYTE = 1_048_576
@@ -34,123 +35,130 @@
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """All fields with the values that hold if no level sets them."""
+    """All fields, with the defaults for fields that no level sets."""
 
-    # The deadline of a request whose caller names none.
+    # The deadline of a request if the caller sets none.
     deadline_ms: Annotated[
-        int, msgspec.Meta(ge=1, le=10 * _MINUTE_MS, extra=_AT_TIER)
+        int, msgspec.Meta(ge=1, le=10 * _MINUTE_MS, extra=_DOWN_TO_TIER)
     ] = 2_000
-    # The longest deadline that a caller may name.
+    # The longest deadline that a caller may set.
     max_deadline_ms: Annotated[
-        int, msgspec.Meta(ge=1, le=10 * _MINUTE_MS, extra=_AT_TIER)
+        int, msgspec.Meta(ge=1, le=10 * _MINUTE_MS, extra=_DOWN_TO_TIER)
     ] = 30_000
-    # Requests of one tier that may wait for one backend server.
+    # The maximum number of requests of one tier that wait for one backend
+    # server.
     queue_requests: Annotated[
-        int, msgspec.Meta(ge=0, le=100_000, extra=_AT_TIER)
+        int, msgspec.Meta(ge=0, le=100_000, extra=_DOWN_TO_TIER)
     ] = 64
-    # The largest request or answer body.
+    # The maximum size of a request or response body.
     max_body_bytes: Annotated[
-        int, msgspec.Meta(ge=0, le=64 * _MEBIBYTE, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=0, le=64 * _MEBIBYTE, extra=_DOWN_TO_SERVICE)
     ] = _MEBIBYTE
-    # The share of served requests that goes to the lowest waiting tier even
-    # while higher tiers wait; 0 lets the lowest tier starve.
+    # The share of served requests that is reserved for the lowest waiting
+    # tier while higher tiers wait; at 0 the lowest tier may starve.
     starvation_share_ratio: Annotated[
-        float, msgspec.Meta(ge=0.0, le=0.5, extra=_AT_SERVICE)
+        float, msgspec.Meta(ge=0.0, le=0.5, extra=_DOWN_TO_SERVICE)
     ] = 0.02
-    # Retries allowed, as a share of first attempts.
+    # The retry budget, as a share of first attempts.
     retry_budget_ratio: Annotated[
-        float, msgspec.Meta(ge=0.0, le=1.0, extra=_AT_SERVICE)
+        float, msgspec.Meta(ge=0.0, le=1.0, extra=_DOWN_TO_SERVICE)
     ] = 0.1
-    # Attempts for one request, the first included.
+    # The maximum number of attempts for one request, including the first.
     max_attempts: Annotated[
-        int, msgspec.Meta(ge=1, le=10, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=1, le=10, extra=_DOWN_TO_SERVICE)
     ] = 3
-    # Requests that one backend server runs at the same time.
+    # The number of requests that one backend server runs concurrently.
     slots_per_server: Annotated[
-        int, msgspec.Meta(ge=1, le=10_000, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=1, le=10_000, extra=_DOWN_TO_SERVICE)
     ] = 4
-    # Connections that one backend server accepts from all instances.
+    # The number of connections that one backend server accepts from all
+    # instances together.
     connections_per_server: Annotated[
-        int, msgspec.Meta(ge=1, le=100_000, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=1, le=100_000, extra=_DOWN_TO_SERVICE)
     ] = 100
-    # Whether the backend servers refuse a wrong fencing token or lease.
-    checks_fences: Annotated[bool, msgspec.Meta(extra=_AT_SERVICE)] = True
-    # Methods whose requests must not run twice; they need an Idempotency-Key.
+    # Whether the backend servers refuse a wrong token or an expired lease.
+    checks_fences: Annotated[bool, msgspec.Meta(extra=_DOWN_TO_SERVICE)] = True
+    # Methods whose requests must run at most once and therefore require an
+    # Idempotency-Key.
     non_repeatable_methods: Annotated[
-        tuple[str, ...], msgspec.Meta(extra=_AT_SERVICE)
+        tuple[str, ...], msgspec.Meta(extra=_DOWN_TO_SERVICE)
     ] = ()
-    # Slices into which the service's keys are divided; fixed when the
-    # service is first seen.
+    # The number of slices into which the service's keys are divided; cannot
+    # change after the service is first seen.
     slice_count: Annotated[
-        int, msgspec.Meta(ge=1, le=1_000_000, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=1, le=1_000_000, extra=_DOWN_TO_SERVICE)
     ] = 128
-    # How long a backend server may act on a lease that is not renewed.
+    # How long a backend server may act on a lease without a renewal.
     lease_ms: Annotated[
-        int, msgspec.Meta(ge=100, le=_MINUTE_MS, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=100, le=_MINUTE_MS, extra=_DOWN_TO_SERVICE)
     ] = 1_200
-    # How often a lease is renewed.
+    # The interval between lease renewals.
     renew_interval_ms: Annotated[
-        int, msgspec.Meta(ge=20, le=_MINUTE_MS, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=20, le=_MINUTE_MS, extra=_DOWN_TO_SERVICE)
     ] = 300
-    # Renewals in a row that fail before a server counts as lost.
+    # The number of failed renewals in a row after which a server is lost.
     renew_misses: Annotated[
-        int, msgspec.Meta(ge=1, le=100, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=1, le=100, extra=_DOWN_TO_SERVICE)
     ] = 2
-    # How long an instance may act without fresh news from the log or,
-    # during an outage of it, from a majority of its peers.
+    # How long an instance may act after it last read the log or, during an
+    # outage of the log, after it last heard from a majority of its peers.
     authority_ms: Annotated[
-        int, msgspec.Meta(ge=100, le=_MINUTE_MS, extra=_AT_PLACE)
+        int, msgspec.Meta(ge=100, le=_MINUTE_MS, extra=_DOWN_TO_PLACE)
     ] = 1_500
-    # How often the instances exchange heartbeats.
+    # The interval between heartbeats of the instances.
     heartbeat_interval_ms: Annotated[
-        int, msgspec.Meta(ge=20, le=_MINUTE_MS, extra=_AT_PLACE)
+        int, msgspec.Meta(ge=20, le=_MINUTE_MS, extra=_DOWN_TO_PLACE)
     ] = 250
-    # Heartbeats in a row that fail before an instance counts as lost.
+    # The number of failed heartbeats in a row after which an instance is
+    # lost.
     heartbeat_misses: Annotated[
-        int, msgspec.Meta(ge=1, le=100, extra=_AT_PLACE)
+        int, msgspec.Meta(ge=1, le=100, extra=_DOWN_TO_PLACE)
     ] = 3
-    # The difference in rate that the clocks of two machines may have.
+    # The largest difference in rate between the clocks of two machines, as a
+    # ratio.
     clock_drift_ratio: Annotated[
-        float, msgspec.Meta(ge=0.0, le=0.1, extra=_AT_PLACE)
+        float, msgspec.Meta(ge=0.0, le=0.1, extra=_DOWN_TO_PLACE)
     ] = 0.001
-    # The most loaded server's load over the mean that the planner accepts.
+    # The highest accepted load of a server over the mean.
     imbalance_target_ratio: Annotated[
-        float, msgspec.Meta(ge=1.0, le=10.0, extra=_AT_SERVICE)
+        float, msgspec.Meta(ge=1.0, le=10.0, extra=_DOWN_TO_SERVICE)
     ] = 1.25
-    # Slices that may change owner each minute to improve the balance; moves
-    # off a lost or leaving server do not count.
+    # The maximum number of slices that change owner per minute to improve the
+    # balance. Moves off a lost or leaving server do not count.
     churn_budget_slices_per_min: Annotated[
-        int, msgspec.Meta(ge=0, le=100_000, extra=_AT_SERVICE)
+        int, msgspec.Meta(ge=0, le=100_000, extra=_DOWN_TO_SERVICE)
     ] = 16
-    # Servers of a service that may be evicted within 10 s on the word of one
-    # instance, as a share of the service's servers; one is always allowed.
+    # The maximum number of servers of a service that are evicted within 10 s
+    # because of reports of a single instance, as a share of the service's
+    # servers. One eviction is always allowed.
     eviction_limit_ratio: Annotated[
-        float, msgspec.Meta(ge=0.0, le=1.0, extra=_AT_SERVICE)
+        float, msgspec.Meta(ge=0.0, le=1.0, extra=_DOWN_TO_SERVICE)
     ] = 0.25
-    # How long a planned stop goes on serving, at least, while it says that it
-    # is not ready: longer than the platform's balancer takes to notice.
+    # The minimum time for which a planned shutdown keeps serving while the
+    # instance reports that it is not ready. Must be longer than the
+    # platform's load balancer takes to notice.
     drain_notice_ms: Annotated[
-        int, msgspec.Meta(ge=0, le=_MINUTE_MS, extra=_AT_PLACE)
+        int, msgspec.Meta(ge=0, le=_MINUTE_MS, extra=_DOWN_TO_PLACE)
     ] = 2_000
-    # How long a planned stop waits for requests in flight.
+    # How long a planned shutdown waits for requests in flight.
     drain_ms: Annotated[
-        int, msgspec.Meta(ge=0, le=10 * _MINUTE_MS, extra=_AT_PLACE)
+        int, msgspec.Meta(ge=0, le=10 * _MINUTE_MS, extra=_DOWN_TO_PLACE)
     ] = 10_000
 
 
 FIELD_NAMES = tuple(field.name for field in dataclasses.fields(Policy))
-"""The names of all fields, in the order of their declaration."""
+"""The names of all fields, in declaration order."""
 
 
-def _find_deepest_levels() -> dict[str, Level]:
-    """Reads the deepest level of each field off its type."""
+def _read_deepest_levels() -> dict[str, Level]:
+    """Returns the deepest level of each field from its annotation."""
     hints: dict[str, Any] = get_type_hints(Policy, include_extras=True)
     deepest = {}
     for name, hint in hints.items():
         meta = get_args(hint)[1]
-        deepest[name] = meta.extra[_DEEPEST]
+        deepest[name] = meta.extra[_DEEPEST_KEY]
     return deepest
 
 
-DEEPEST_LEVELS = _find_deepest_levels()
-"""For each field the deepest level that may set it."""
+DEEPEST_LEVELS = _read_deepest_levels()
+"""The deepest level that may set a field, by the field's name."""
--- a/libs/bridgecross-settings/src/bridgecross_settings/tree.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree, and what is in effect at each of its nodes."""
+"""The settings tree and the effective values at each of its nodes."""
 
 import dataclasses
 import functools
@@ -11,21 +11,21 @@
 from bridgecross_settings import policy
 
 HouseDocument = dict[str, Any]
-"""A checked document: the JSON object of a whole house."""
+"""The JSON object of a whole house, validated by ``check``."""
 
 DEFAULT_ORIGIN = "(default)"
-"""The origin of a value that no level sets."""
+"""The origin of a value that no level sets, so that the default applies."""
 
 
 class CallerDocument(TypedDict):
-    """A caller as the document has it."""
+    """A caller in the document."""
 
     credential_sha256: str
     tiers: dict[str, str]
 
 
 class EffectiveField(NamedTuple):
-    """A value in effect and the path of the level that set it."""
+    """An effective value and the path of the level that set it."""
 
     name: str
     value: Any
@@ -34,13 +34,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Caller:
-    """Somebody who sends requests, known by a credential."""
+    """A client that sends requests, identified by a credential."""
 
     # The caller's name in the settings.
     name: str
     # The SHA-256 of the credential, in hexadecimal.
     credential_sha256: str
-    # The tier that the caller has bought, by ``place/service``.
+    # The tier that the caller has bought for each ``place/service``.
     tiers: dict[str, str]
 
 
@@ -50,9 +50,9 @@
 
     # The tier's name.
     name: str
-    # 1 is served first.
+    # 1 is the highest priority.
     priority: int
-    # What is in effect for its requests.
+    # The policy for its requests.
     policy: policy.Policy
 
 
@@ -62,7 +62,7 @@
 
     # The service's name.
     name: str
-    # What is in effect for the service as a whole.
+    # The policy for the service as a whole.
     policy: policy.Policy
     # The tiers by name.
     tiers: dict[str, Tier]
@@ -70,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Place:
-    """A place of a house: failure domains that are close together."""
+    """A place of a house: a group of nearby failure domains."""
 
     # The place's name.
     name: str
-    # What is in effect for the place as a whole.
+    # The policy for the place as a whole.
     policy: policy.Policy
     # The names of its failure domains.
     failure_domains: tuple[str, ...]
@@ -83,10 +83,10 @@
 
 
 class UnknownPathError(LookupError):
-    """No node of the tree has the path."""
+    """The path does not name a node of the tree."""
 
     def __init__(self, path: str, known: list[str]) -> None:
-        """Keeps the path and the names that would have been possible."""
+        """Stores the path and the names that exist at its level."""
         self.path = path
         self.known = known
         names = ", ".join(sorted(known)) or "none"
@@ -97,7 +97,7 @@
     """A read-only view of a checked document."""
 
     def __init__(self, document: HouseDocument) -> None:
-        """Wraps a document that ``check`` has accepted."""
+        """Initializes the view of a document that ``check`` has validated."""
         self.document = document
         self.name: str = document["house"]
 
@@ -116,22 +116,22 @@
 
     @functools.cached_property
     def places(self) -> dict[str, Place]:
-        """The places by name, with everything below them."""
+        """The places by name, including their services and tiers."""
         return {
-            name: self._view_place(name) for name in self.document["places"]
+            name: self._build_place(name) for name in self.document["places"]
         }
 
     def list_effective(self, path: str) -> list[EffectiveField]:
-        """Returns each field in effect at a node and the level that set it.
+        """Returns the effective value of each field that may be set at a node.
 
         Args:
             path: ``house``, ``house/place``, ``house/place/service`` or
                 ``house/place/service/tier``.
 
         Raises:
-            UnknownPathError: There is no such node.
+            UnknownPathError: The node does not exist.
         """
-        nodes = self._walk(path)
+        nodes = self._resolve(path)
         level = policy.Level(len(nodes) - 1)
         return [
             _find_effective(name, nodes)
@@ -140,20 +140,20 @@
         ]
 
     def effective_policy(self, path: str) -> policy.Policy:
-        """Returns the policy in effect at a node.
+        """Returns the effective policy at a node.
 
         Raises:
-            UnknownPathError: There is no such node.
+            UnknownPathError: The node does not exist.
         """
-        nodes = self._walk(path)
+        nodes = self._resolve(path)
         values = {
             name: _find_effective(name, nodes).value
             for name in policy.FIELD_NAMES
         }
         return msgspec.convert(values, policy.Policy)
 
-    def _walk(self, path: str) -> list[tuple[str, dict[str, Any]]]:
-        """Returns the path and document of each level down to a node."""
+    def _resolve(self, path: str) -> list[tuple[str, dict[str, Any]]]:
+        """Returns the path and document of each node from the root down."""
         names = path.strip("/").split("/")
         if names[0] != self.name or len(names) > len(policy.Level):
             raise UnknownPathError(path, [self.name])
@@ -165,8 +165,8 @@
             nodes.append((f"{nodes[-1][0]}/{name}", children[name]))
         return nodes
 
-    def _view_place(self, name: str) -> Place:
-        """Returns a place with all of its services."""
+    def _build_place(self, name: str) -> Place:
+        """Returns a place with its services."""
         path = f"{self.name}/{name}"
         node = self.document["places"][name]
         return Place(
@@ -174,15 +174,15 @@
             policy=self.effective_policy(path),
             failure_domains=tuple(node["failure_domains"]),
             services={
-                service: self._view_service(path, service, child)
+                service: self._build_service(path, service, child)
                 for service, child in node["services"].items()
             },
         )
 
-    def _view_service(
+    def _build_service(
         self, place_path: str, name: str, node: dict[str, Any]
     ) -> Service:
-        """Returns a service with all of its tiers."""
+        """Returns a service with its tiers."""
         path = f"{place_path}/{name}"
         return Service(
             name=name,
--- a/libs/bridgecross-settings/src/bridgecross_settings/versions.py
+++ b/libs/bridgecross-settings/src/bridgecross_settings/versions.py
@@ -1,8 +1,9 @@
-"""The fold of published settings: each change names the one that it edits.
+"""The versions of the settings, computed from the changes in the log.
 
-Two operators may publish at the same moment. The log orders their changes;
-the second names a base that is no longer the newest, is void for every
-reader, and its author is told which paths clash.
+Each change names the version that it edits. If two operators publish at the
+same time, the log orders their changes. The second names a base that is no
+longer the newest, so it is void for every reader, and its author is told which
+paths conflict.
 """
 
 import collections
@@ -21,11 +22,11 @@
 """The kind of a record that holds a ``SettingsChange``."""
 
 
-_REMEMBERED_VERSIONS = 16
+_RECENT_VERSIONS = 16
 
 
 class SettingsChange(NamedTuple):
-    """A published change.
+    """A change of the settings in a log record.
 
     ``base`` is the offset of the change that the author edited, ``NO_OFFSET``
     for the first. ``document`` is the whole house document as JSON.
@@ -38,7 +39,7 @@
 
 
 class SettingsVersion(NamedTuple):
-    """The change in force. ``offset`` is its version."""
+    """A valid change; ``offset``, its offset in the log, is its version."""
 
     offset: ids.Offset
     author: str
@@ -50,20 +51,20 @@
 
 
 def encode_change(change: SettingsChange) -> bytes:
-    """Returns the body of the change's record."""
+    """Returns the body of a record that holds a change."""
     return _CHANGES.encode(change)
 
 
 class SettingsState:
-    """The settings that a prefix of the log puts in force."""
+    """The settings in force after a prefix of the log."""
 
     def __init__(self) -> None:
-        """Has no settings yet."""
+        """Starts without settings."""
         self.version: SettingsVersion | None = None
         self.house: tree.House | None = None
         # Recent versions, so that the author of a void change can be told
-        # which paths clash.
-        self._earlier: collections.OrderedDict[ids.Offset, SettingsVersion] = (
+        # which paths conflict.
+        self._recent: collections.OrderedDict[ids.Offset, SettingsVersion] = (
             collections.OrderedDict()
         )
 
@@ -73,7 +74,7 @@
         return self.version.offset if self.version else ids.NO_OFFSET
 
     def apply(self, record: records.LogRecord) -> appender.Verdict:
-        """Applies one change if it edits the version in force."""
+        """Applies a change if it edits the version in force."""
         offset = record.offset
         try:
             change = _CHANGES.decode(record.envelope.body)
@@ -85,19 +86,19 @@
         version = SettingsVersion(
             offset, change.author, change.summary, change.document
         )
-        return self._adopt(version)
+        return self._activate(version)
 
-    def find_earlier(self, offset: ids.Offset) -> SettingsVersion | None:
-        """Returns a recent version, or None if it is not remembered."""
-        return self._earlier.get(offset)
+    def find_recent(self, offset: ids.Offset) -> SettingsVersion | None:
+        """Returns a recent version, or None if it is no longer remembered."""
+        return self._recent.get(offset)
 
     def restore(self, version: SettingsVersion | None) -> None:
-        """Takes the version over from a snapshot; never a lower one."""
+        """Restores the version of a snapshot, unless it is older."""
         if version is not None and version.offset > self.offset:
-            self._adopt(version)
+            self._activate(version)
 
-    def _adopt(self, version: SettingsVersion) -> appender.Verdict:
-        """Puts a version in force if its document is sound."""
+    def _activate(self, version: SettingsVersion) -> appender.Verdict:
+        """Puts a version in force if its document is valid."""
         source = f"settings version {version.offset}"
         try:
             document = codec.from_json(version.document, dict[str, Any])
@@ -106,14 +107,14 @@
             return appender.Void(version.offset, str(error))
         self.version = version
         self.house = house
-        self._earlier[version.offset] = version
-        while len(self._earlier) > _REMEMBERED_VERSIONS:
-            self._earlier.popitem(last=False)
+        self._recent[version.offset] = version
+        while len(self._recent) > _RECENT_VERSIONS:
+            self._recent.popitem(last=False)
         return appender.Applied(version.offset)
 
 
 def list_changed_paths(old: Any, new: Any, path: str = "") -> list[str]:
-    """Returns the paths at which two documents differ, in order."""
+    """Returns the sorted paths at which two documents differ."""
     if isinstance(old, dict) and isinstance(new, dict):
         changed = []
         for name in sorted(old.keys() | new.keys()):
@@ -123,11 +124,11 @@
     return [] if old == new else [path]
 
 
-def list_clashes(base: Any, mine: Any, theirs: Any) -> list[str]:
-    """Returns the paths that two edits of one base both changed.
+def list_conflicts(base: Any, mine: Any, theirs: Any) -> list[str]:
+    """Returns the paths that two edits of the same base both changed.
 
-    A path clashes with one below it as well: replacing a service clashes
-    with a change of a field of that service.
+    A path also conflicts with the paths below it: replacing a service
+    conflicts with a change of one of its fields.
     """
     mine_paths = list_changed_paths(base, mine)
     their_paths = list_changed_paths(base, theirs)
--- a/libs/bridgecross-settings/tests/test_check.py
+++ b/libs/bridgecross-settings/tests/test_check.py
@@ -10,7 +10,8 @@
 SAMPLES = pathlib.Path(__file__).parents[3] / "settings"
 KARATAS = (SAMPLES / "karatas.jsonc").read_text(encoding="utf-8")
 
-# Each case replaces one text of the sample and names the finding it causes.
+# Each case replaces one text of the sample: old text, new text, and a part of
+# the expected finding.
 MISTAKES = {
     "unknown field, bad unit": (
         '"slots_per_server": 4',
@@ -51,12 +52,12 @@
 }
 
 
-def _find_line(text: str, part: str) -> int:
-    return text[: text.index(part)].count("\n") + 1
+def _find_line(text: str, fragment: str) -> int:
+    return text[: text.index(fragment)].count("\n") + 1
 
 
 @pytest.mark.parametrize("name", ["karatas", "valdivieso"])
-def test_samples_are_sound(name):
+def test_samples_are_valid(name):
     text = (SAMPLES / f"{name}.jsonc").read_text(encoding="utf-8")
     assert check.check_text(text, name).name == name
 
@@ -64,7 +65,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "expected"), MISTAKES.values(), ids=MISTAKES.keys()
 )
-def test_a_mistake_is_found_at_its_line(old, new, expected):
+def test_a_mistake_is_reported_with_its_line(old, new, expected):
     text = KARATAS.replace(old, new, 1)
     with pytest.raises(findings.FindingsError) as caught:
         check.check_text(text, "house.jsonc")
@@ -85,19 +86,19 @@
     assert len(caught.value.findings) == len(MISTAKES)
 
 
-def test_broken_syntax_names_its_line():
+def test_a_syntax_error_is_a_finding():
     with pytest.raises(findings.FindingsError) as caught:
         check.check_text('{\n  "house": \n}', "house.jsonc")
     assert "not JSON with comments" in str(caught.value)
 
 
 @pytest.mark.parametrize("text", ["[]", "3", "null", '"x"'])
-def test_a_document_of_another_kind_is_a_finding(text):
+def test_a_document_that_is_no_object_is_a_finding(text):
     with pytest.raises(findings.FindingsError):
         check.check_text(text, "house.jsonc")
 
 
-def test_levels_inherit_and_override():
+def test_levels_inherit_and_override_values():
     house = check.check_text(KARATAS, "karatas")
     place = house.places["anadolu"]
     tiers = place.services["rapor"].tiers
@@ -113,7 +114,7 @@
     assert "slice_count" not in origins
 
 
-def test_an_unknown_path_names_what_is_possible():
+def test_an_unknown_path_error_lists_known_names():
     house = check.check_text(KARATAS, "karatas")
     with pytest.raises(tree.UnknownPathError, match="bulgu, cizim, kapama"):
         house.list_effective("karatas/anadolu/rapport")
--- a/libs/bridgecross-settings/tests/test_versions.py
+++ b/libs/bridgecross-settings/tests/test_versions.py
@@ -34,7 +34,7 @@
     return state.apply(records.LogRecord(ids.Offset(offset), envelope))
 
 
-def test_the_second_of_two_changes_of_one_base_is_void():
+def test_the_second_of_two_changes_of_the_same_base_is_void():
     state = versions.SettingsState()
     assert isinstance(_apply(state, 3, _change(-1)), appender.Applied)
     assert isinstance(_apply(state, 5, _change(3, slots=5)), appender.Applied)
@@ -46,7 +46,7 @@
     assert state.house.document["slots_per_server"] == 5
 
 
-def test_an_unsound_document_is_void_and_changes_nothing():
+def test_an_invalid_document_is_void_and_changes_nothing():
     state = versions.SettingsState()
     _apply(state, 0, _change(-1))
     verdict = _apply(state, 1, _change(0, house="NOT A NAME"))
@@ -54,7 +54,7 @@
     assert state.offset == 0
 
 
-def test_a_snapshot_never_brings_a_lower_version_back():
+def test_an_older_snapshot_does_not_replace_a_newer_version():
     state = versions.SettingsState()
     _apply(state, 0, _change(-1))
     old = state.version
@@ -63,10 +63,10 @@
     assert state.offset == 1
 
 
-def test_clashes_are_the_paths_that_both_changed():
+def test_conflicts_are_the_paths_that_both_changed():
     base = {"a": {"x": 1, "y": 1}, "b": 1, "c": 1}
     mine = {"a": {"x": 2, "y": 1}, "b": 2, "c": 1}
     theirs = {"a": {"x": 3, "y": 5}, "b": 1, "c": 7}
-    assert versions.list_clashes(base, mine, theirs) == ["a.x"]
+    assert versions.list_conflicts(base, mine, theirs) == ["a.x"]
     replaced = {"a": 0, "b": 1, "c": 1}
-    assert versions.list_clashes(base, mine, replaced) == ["a.x"]
+    assert versions.list_conflicts(base, mine, replaced) == ["a.x"]
