--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_poison_broadcast.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_poison_broadcast.py
@@ -1,8 +1,9 @@
-"""Tells the other instances which requests servers ended under.
+"""Broadcasts which requests were running when a server's run ended.
 
-A key moves when its owner ends, often to a server that another instance fronts;
-so whoever sees an end tells all listed instances at once. Who is not reached is
-told again until it is, and a new process asks the others.
+When the owner of a key ends, the key often moves to a server that another
+instance fronts. An instance that sees a run end under a request therefore sends
+a report to all listed instances at once. Instances that were not reached are
+retried until they are, and a new process asks the others for what they know.
 """
 
 import anyio
@@ -18,14 +19,14 @@
 
 _ENDS_MAX_COUNT = 64
 _CALL_TIMEOUT_S = 0.1
-_AGAIN_INTERVAL_S = 0.1
-_AGAIN_FOR_S = 30.0
-"""For so long those who were not reached are told again; an instance that is
-gone is off the list by then."""
+_RETRY_INTERVAL_S = 0.1
+_RETRY_FOR_S = 30.0
+"""How long instances that were not reached are retried; after that time, a
+terminated instance is no longer listed."""
 
 
 class PoisonBroadcaster:
-    """Tells of ends, and hears of them."""
+    """Sends reports about ends to other instances, and receives them."""
 
     def __init__(
         self,
@@ -35,14 +36,14 @@
         addresses: _platform.Addresses,
         clock: clocks.Clock,
     ) -> None:
-        """Has told nobody.
+        """Starts without reports to send.
 
         Args:
             me: This instance.
-            ledger: What is known here.
-            client: Calls the others.
-            addresses: Where they are.
-            clock: For how long to try.
+            ledger: The ends and answers that this instance knows of.
+            client: Calls the other instances.
+            addresses: Looks up the addresses of the other instances.
+            clock: The clock that limits the retries.
         """
         self._me = me
         self._ledger = ledger
@@ -50,71 +51,80 @@
         self._addresses = addresses
         self._clock = clock
         self._changed = notifier.Notifier()
-        # Until when those who lack something are told again.
-        self._owed: dict[ids.InstanceId, float] = {}
+        # The instances that still have to be reached, and until when each is
+        # retried.
+        self._unreached: dict[ids.InstanceId, float] = {}
 
-    def tell(self, subject: poison_requests.Fingerprint) -> None:
-        """Tells all others of a request, with all else that is known."""
+    def broadcast(self, subject: poison_requests.Fingerprint) -> None:
+        """Reports a request, and all others known, to all instances."""
         loguru.logger.info(
-            "{} knows of {} ends under the request {}; refused for {:.0f} s",
+            "{}: {} server runs ended under request {}; refused for {:.0f} s",
             self._me,
             len(self._ledger.ends_of(subject)),
             subject.hex(),
             self._ledger.refused_for_s(subject),
         )
-        until_s = self._clock.monotonic_s() + _AGAIN_FOR_S
-        for instance in self._others():
-            self._owed[instance] = until_s
+        until_s = self._clock.monotonic_s() + _RETRY_FOR_S
+        for instance in self._list_others():
+            self._unreached[instance] = until_s
         self._changed.notify()
 
     def answer(
-        self, told: poison_requests.PoisonReport
+        self, report: poison_requests.PoisonReport
     ) -> poison_requests.PoisonReport:
-        """Takes in what another instance knows; returns what it may lack."""
-        named = {poison_requests.Fingerprint(end.subject) for end in told.ends}
+        """Merges an instance's report; returns what it may not know.
+
+        The reply is about the same requests or, if the report names none, about
+        all suspect ones.
+        """
+        named = {
+            poison_requests.Fingerprint(end.subject) for end in report.ends
+        }
         known = self._ledger.build_report(
             named or self._ledger.list_suspects(), _ENDS_MAX_COUNT
         )
-        self._take(told)
+        self._merge(report)
         return known
 
     async def run(self) -> None:
-        """Tells whoever is owed something, until cancelled."""
+        """Sends reports to unreached instances until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._ask_first)
+            tasks.start_soon(self._ask_initially)
             while True:
-                if not self._owed:
+                if not self._unreached:
                     await self._changed.wait(60.0)
-                await self._tell_owed()
-                if self._owed:
-                    await self._changed.wait(_AGAIN_INTERVAL_S)
+                await self._report_to_unreached()
+                if self._unreached:
+                    await self._changed.wait(_RETRY_INTERVAL_S)
 
-    async def _ask_first(self) -> None:
-        """Asks the others what they know, until one has answered."""
+    async def _ask_initially(self) -> None:
+        """Asks the others for what they know until one has replied."""
         while True:
-            asked = await self._call_all(
-                self._others(), poison_requests.PoisonReport()
+            replied = await self._call_all(
+                self._list_others(), poison_requests.PoisonReport()
             )
-            if asked:
+            if replied:
                 return
-            await anyio.sleep(_AGAIN_INTERVAL_S)
+            await anyio.sleep(_RETRY_INTERVAL_S)
 
-    async def _tell_owed(self) -> None:
-        """Tells all that is known to those who were not reached."""
+    async def _report_to_unreached(self) -> None:
+        """Sends all that is known to the unreached instances."""
         now_s = self._clock.monotonic_s()
-        present = self._others()
-        for instance, until_s in list(self._owed.items()):
-            if until_s < now_s or instance not in present:
-                del self._owed[instance]
+        others = self._list_others()
+        for instance, until_s in list(self._unreached.items()):
+            if until_s < now_s or instance not in others:
+                del self._unreached[instance]
         subjects = self._ledger.list_known()
-        told = self._ledger.build_report(subjects, _ENDS_MAX_COUNT)
-        for instance in await self._call_all(set(self._owed), told):
-            self._owed.pop(instance, None)
+        report = self._ledger.build_report(subjects, _ENDS_MAX_COUNT)
+        for instance in await self._call_all(set(self._unreached), report):
+            self._unreached.pop(instance, None)
 
     async def _call_all(
-        self, instances: set[ids.InstanceId], told: poison_requests.PoisonReport
+        self,
+        instances: set[ids.InstanceId],
+        report: poison_requests.PoisonReport,
     ) -> set[ids.InstanceId]:
-        """Tells some instances at the same time; returns who answered."""
+        """Calls instances concurrently; returns those that replied."""
         reached: set[ids.InstanceId] = set()
 
         async def call(instance: ids.InstanceId) -> None:
@@ -123,32 +133,37 @@
                 return
             try:
                 reply = await self._client.call(
-                    address, peer_protocol.ENDS, told, _CALL_TIMEOUT_S
+                    address,
+                    peer_protocol.POISON_REPORT,
+                    report,
+                    _CALL_TIMEOUT_S,
                 )
             except peer_protocol.PeerUnreachableError:
                 return
             reached.add(instance)
-            self._take(reply)
+            self._merge(reply)
 
         async with anyio.create_task_group() as calls:
             for instance in instances:
                 calls.start_soon(call, instance)
         return reached
 
-    def _take(self, told: poison_requests.PoisonReport) -> None:
-        """Takes in what another instance knows."""
+    def _merge(self, report: poison_requests.PoisonReport) -> None:
+        """Merges a report of another instance into the ledger."""
         try:
-            refused = self._ledger.merge_report(told)
+            refused = self._ledger.merge_report(report)
         except poison_requests.InvalidReportError as error:
-            loguru.logger.warning("left aside what a peer tells: {}", error)
+            loguru.logger.warning(
+                "ignored an invalid report of a peer: {}", error
+            )
             return
         for subject in refused:
             loguru.logger.info(
-                "{} refuses the request {}: servers ended under it",
+                "{}: refusing request {}: servers ended under it",
                 self._me,
                 subject.hex(),
             )
 
-    def _others(self) -> set[ids.InstanceId]:
+    def _list_others(self) -> set[ids.InstanceId]:
         """Returns the other instances that are listed."""
         return self._addresses.list_instances() - {self._me}
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -127,7 +127,7 @@
         )
         now_s = self._shared.clock.monotonic_s()
         request = requests.from_wire(wire, now_s)
-        return peer_protocol.wrap_outcome(await self.runner.run(request))
+        return peer_protocol.outcome_to_wire(await self.runner.run(request))
 
     async def run_inherited(
         self, wire: requests.WireRequest, bequest: releases.Takeover
@@ -138,7 +138,7 @@
         )
         request = requests.from_wire(wire, self._shared.clock.monotonic_s())
         outcome = await self.runner.run_takeover(request, bequest)
-        return peer_protocol.wrap_outcome(outcome)
+        return peer_protocol.outcome_to_wire(outcome)
 
     def build_report(self) -> reports.ServiceReport:
         """Returns what this instance reports to the coordinator."""
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -254,7 +254,7 @@
     async def forward(
         self, request: requests.WireRequest
     ) -> peer_protocol.WireOutcome:
-        """Runs a request at the front of its key's owner."""
+        """Runs a request whose key's owner this instance fronts."""
         parts = self._services.get(request.service)
         if parts is None:
             return self._describe_unknown_service()
@@ -267,7 +267,7 @@
     async def inherit(
         self, request: peer_protocol.InheritRequest
     ) -> peer_protocol.WireOutcome:
-        """Runs a request at the heir of its key's owner."""
+        """Runs a request at the backup of the key's lost owner."""
         parts = self._services.get(request.request.service)
         if parts is None:
             return self._describe_unknown_service()
@@ -280,7 +280,7 @@
     async def heartbeat(
         self, request: peer_protocol.Heartbeat
     ) -> peer_protocol.HeartbeatReply:
-        """Takes the report of an instance."""
+        """Processes the reports of an instance."""
         self._watcher.record_contact(request.instance, request.leaving)
         self._add_reports(request)
         coordinates = [
@@ -296,43 +296,43 @@
     async def await_release(
         self, request: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Waits until a server has let go of slices."""
+        """Waits until a server has released slices."""
         parts = self._services.get(request.service)
         if parts is None:
             return releases.ReleaseReply([])
         return await parts.fronts.answer_release(request)
 
-    async def office(
+    async def answer_front_drained(
         self, request: releases.FrontDrainedQuery
     ) -> releases.FrontDrainedReply:
-        """Tells whether all is over that this one did as a server's front."""
+        """Returns whether this instance has drained as an earlier front."""
         parts = self._services.get(request.service)
         if parts is None:
             return releases.FrontDrainedReply(self._me, is_drained=False)
         return await parts.fronts.answer_front_drained(request)
 
-    async def ends(
+    async def exchange_poison_reports(
         self, request: poison_requests.PoisonReport
     ) -> poison_requests.PoisonReport:
-        """Takes in which requests servers ended under."""
+        """Merges a report on requests under which servers ended."""
         return self._poison_broadcaster.answer(request)
 
     async def news(
         self, request: peer_protocol.NewsRequest
     ) -> peer_protocol.NewsReply:
-        """Tells what the instance has read of the control stream."""
+        """Returns records of the control stream that were read here."""
         return self._peer_log_reader.answer(request)
 
     async def status(
         self, request: peer_protocol.StatusRequest
     ) -> peer_protocol.InstanceStatus:
-        """Tells how the instance is."""
+        """Returns the status of the instance."""
         return self.describe()
 
     async def owner(
         self, request: peer_protocol.OwnerRequest
     ) -> peer_protocol.OwnerReply:
-        """Tells who owns a key and why."""
+        """Returns the owner of a key, with the log records behind it."""
         cell = self.control.cells.get(request.service)
         if cell is None or not cell.slices:
             return _NOT_FOUND
@@ -354,14 +354,14 @@
     async def drain(
         self, request: peer_protocol.DrainRequest
     ) -> peer_protocol.DrainReply:
-        """Begins a planned stop."""
+        """Starts a graceful stop."""
         self.stop()
         return peer_protocol.DrainReply(self._in_flight)
 
     async def timeline(
         self, request: peer_protocol.TimelineRequest
     ) -> peer_protocol.TimelineReply:
-        """Tells the events that the instance remembers."""
+        """Returns the events that the instance has recorded."""
         return peer_protocol.TimelineReply(
             [events.to_wire(event) for event in self._ring.list_events()]
         )
@@ -388,7 +388,7 @@
 
     def _describe_unknown_service(self) -> peer_protocol.WireOutcome:
         """Returns the outcome of a request whose service is not here yet."""
-        return peer_protocol.wrap_outcome(
+        return peer_protocol.outcome_to_wire(
             outcomes.NotRun(
                 outcomes.NotRunProof.REFUSED_BY_ADMISSION,
                 f"{self._me} does not know the service yet",
@@ -479,7 +479,7 @@
             control=self._control_appender,
             intents=self._intent_appender,
             ledger=self._ledger,
-            tell_others=self._poison_broadcaster.tell,
+            tell_others=self._poison_broadcaster.broadcast,
         )
 
     def _make_heartbeats(self) -> dict[ids.InstanceId, peer_protocol.Heartbeat]:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -156,7 +156,7 @@
             )
         except peer_protocol.PeerUnreachableError as error:
             return _describe_failure(instance, error)
-        return peer_protocol.unwrap_outcome(reply)
+        return peer_protocol.outcome_from_wire(reply)
 
 
 class PeerReleaseSource:
@@ -192,7 +192,7 @@
             return False
         try:
             reply = await self._client.call(
-                address, peer_protocol.OFFICE, query, _RELEASE_TIMEOUT_S
+                address, peer_protocol.FRONT_DRAINED, query, _RELEASE_TIMEOUT_S
             )
         except peer_protocol.PeerUnreachableError:
             return False
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_protocol.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_protocol.py
@@ -1,7 +1,7 @@
-"""What instances and tools say to an instance, over gRPC.
+"""The gRPC methods and messages between instances, and from tools to them.
 
-gRPC carries the messages; ``msgspec`` is their codec, so that no code has to
-be generated. Each message travels with a stamp that orders the time line.
+The messages are encoded with ``msgspec``, so no code has to be generated. Each
+message carries a timestamp that keeps the timeline in causal order.
 """
 
 from typing import Generic
@@ -21,14 +21,14 @@
 from bridgecross_timeline import events
 
 SERVICE_NAME = "bridgecross.Peer"
-"""The name of the gRPC service that every instance offers."""
+"""The name of the gRPC service that every instance provides."""
 
 Q = TypeVar("Q")
 A = TypeVar("A")
 
 
 class WireOutcome(NamedTuple):
-    """An outcome between instances: exactly one field is set."""
+    """An outcome as sent between instances; exactly one field is set."""
 
     answered: outcomes.Answered | None
     not_run: outcomes.NotRun | None
@@ -36,14 +36,17 @@
 
 
 class InheritRequest(NamedTuple):
-    """A request for the heir of a lost server."""
+    """A request for the backup of a lost server.
+
+    ``bequest`` is the takeover under which the backup serves the slice.
+    """
 
     request: requests.WireRequest
     bequest: releases.Takeover
 
 
 class Heartbeat(NamedTuple):
-    """What an instance tells the coordinators of its services."""
+    """What an instance reports to a coordinator of its services."""
 
     instance: ids.InstanceId
     leaving: bool
@@ -51,7 +54,7 @@
 
 
 class HeartbeatReply(NamedTuple):
-    """What the receiver tells about itself.
+    """The state of the instance that received a heartbeat.
 
     ``coordinates`` are the services that it is able to coordinate now.
     """
@@ -61,11 +64,15 @@
 
 
 class StatusRequest(NamedTuple):
-    """Asks an instance how it is."""
+    """Asks an instance for its status."""
 
 
 class ServerStatus(NamedTuple):
-    """How a front sees one of its servers."""
+    """The state of a server as observed by its front.
+
+    ``busy`` counts the requests that it runs, and ``slices`` the slices that
+    the log assigns to it.
+    """
 
     server: ids.ServerId
     health: str
@@ -74,10 +81,10 @@
 
 
 class ServiceStatus(NamedTuple):
-    """How an instance sees a service.
+    """The state of a service as known to one instance.
 
-    ``waiting`` and ``served`` count requests by tier, at this instance's
-    fronts only.
+    ``waiting`` and ``served`` count requests by tier, and only those to servers
+    that this instance fronts.
     """
 
     service: ids.ServiceName
@@ -91,9 +98,9 @@
 
 
 class InstanceStatus(NamedTuple):
-    """How an instance is.
+    """The status of an instance.
 
-    ``not_ready`` are the reasons why it takes no requests; empty if it does.
+    ``not_ready`` are the reasons why it accepts no requests; empty if it does.
     """
 
     instance: ids.InstanceId
@@ -117,7 +124,7 @@
 
 
 class OwnerReply(NamedTuple):
-    """The owner of a key, and why.
+    """The owner of a key, and the log records that made it the owner.
 
     ``found`` is False if the service is unknown or has no slices yet.
     """
@@ -134,17 +141,17 @@
 
 
 class NewsRequest(NamedTuple):
-    """Asks for what an instance has read of the control stream."""
+    """Asks an instance for records of the control stream."""
 
     from_offset: ids.Offset
 
 
 class NewsReply(NamedTuple):
-    """What an instance has read of the control stream.
+    """Records of the control stream that an instance has read.
 
     ``next_offset`` is one more than the newest record that it has applied.
-    ``snapshot`` is set if it no longer remembers the record that was asked
-    for; then ``records`` is empty.
+    ``snapshot`` is set if it no longer caches the first record that was asked
+    for; ``records`` is then empty.
     """
 
     instance: ids.InstanceId
@@ -154,27 +161,27 @@
 
 
 class DrainRequest(NamedTuple):
-    """Asks an instance to stop as planned."""
+    """Asks an instance to stop gracefully."""
 
 
 class DrainReply(NamedTuple):
-    """The instance has begun to stop."""
+    """Confirms that the instance has started to stop."""
 
     in_flight: int
 
 
 class TimelineRequest(NamedTuple):
-    """Asks for the events that an instance remembers."""
+    """Asks for the events that an instance has recorded."""
 
 
 class TimelineReply(NamedTuple):
-    """The events that an instance remembers."""
+    """The events that an instance has recorded and still retains."""
 
     events: list[events.WireEvent]
 
 
 class _Stamped(NamedTuple):
-    """A message with the stamp of its sending."""
+    """A message with the time at which it was sent."""
 
     stamp: hybrid_clock.Timestamp
     body: bytes
@@ -187,7 +194,13 @@
     """One method of the gRPC service."""
 
     def __init__(self, name: str, request: type[Q], reply: type[A]) -> None:
-        """Names the method and the types of its messages."""
+        """Defines a method.
+
+        Args:
+            name: The name of the method.
+            request: The type of its requests.
+            reply: The type of its replies.
+        """
         self.name = name
         self.path = f"/{SERVICE_NAME}/{name}"
         self._requests = codec.Codec(request)
@@ -196,65 +209,65 @@
     def encode_request(
         self, clock: hybrid_clock.HybridClock, value: Q
     ) -> bytes:
-        """Returns a request as bytes, stamped."""
-        return _pack(clock, self._requests.encode(value))
+        """Returns an encoded request with a timestamp."""
+        return _encode_stamped(clock, self._requests.encode(value))
 
     def decode_request(self, clock: hybrid_clock.HybridClock, data: bytes) -> Q:
-        """Returns a request and takes its stamp in."""
-        return self._requests.decode(_unpack(clock, data))
+        """Decodes a request and advances the clock to its timestamp."""
+        return self._requests.decode(_decode_stamped(clock, data))
 
     def encode_reply(self, clock: hybrid_clock.HybridClock, value: A) -> bytes:
-        """Returns a reply as bytes, stamped."""
-        return _pack(clock, self._replies.encode(value))
+        """Returns an encoded reply with a timestamp."""
+        return _encode_stamped(clock, self._replies.encode(value))
 
     def decode_reply(self, clock: hybrid_clock.HybridClock, data: bytes) -> A:
-        """Returns a reply and takes its stamp in."""
-        return self._replies.decode(_unpack(clock, data))
+        """Decodes a reply and advances the clock to its timestamp."""
+        return self._replies.decode(_decode_stamped(clock, data))
 
 
 FORWARD = Method("Forward", requests.WireRequest, WireOutcome)
-"""Runs a request at the front of its key's owner."""
+"""Runs a request on the instance that fronts the key's owner."""
 
 INHERIT = Method("Inherit", InheritRequest, WireOutcome)
-"""Runs a request at the heir of its key's owner."""
+"""Runs a request at the backup of the key's lost owner."""
 
 HEARTBEAT = Method("Heartbeat", Heartbeat, HeartbeatReply)
-"""Reports to a coordinator."""
+"""Sends reports to a coordinator."""
 
 AWAIT_RELEASE = Method(
     "AwaitRelease", releases.ReleaseQuery, releases.ReleaseReply
 )
-"""Waits until a server has let go of slices."""
+"""Waits until a server has released slices."""
 
-OFFICE = Method(
+FRONT_DRAINED = Method(
     "Office", releases.FrontDrainedQuery, releases.FrontDrainedReply
 )
-"""Tells whether all is over that an instance did as a server's front."""
+"""Returns whether an instance has drained as a front of a server."""
 
 NEWS = Method("News", NewsRequest, NewsReply)
-"""Tells what an instance has read of the control stream."""
+"""Returns records of the control stream that an instance has read."""
 
 STATUS = Method("Status", StatusRequest, InstanceStatus)
-"""Tells how an instance is."""
+"""Returns the status of an instance."""
 
 OWNER = Method("Owner", OwnerRequest, OwnerReply)
-"""Tells who owns a key and why."""
+"""Returns the owner of a key, with the log records behind it."""
 
-ENDS = Method(
+POISON_REPORT = Method(
     "Ends", poison_requests.PoisonReport, poison_requests.PoisonReport
 )
-"""Tells of requests that servers ended under; the reply is what is known of the
-same ones, or of all, if none is named."""
+"""Reports requests under which servers ended. The reply contains what the
+receiver knows about the same requests or, if none is named, about all."""
 
 DRAIN = Method("Drain", DrainRequest, DrainReply)
-"""Begins a planned stop."""
+"""Starts a graceful stop."""
 
 TIMELINE = Method("Timeline", TimelineRequest, TimelineReply)
-"""Tells the events that an instance remembers."""
+"""Returns the events that an instance has recorded."""
 
 
-def wrap_outcome(outcome: outcomes.Outcome) -> WireOutcome:
-    """Returns an outcome ready to be sent."""
+def outcome_to_wire(outcome: outcomes.Outcome) -> WireOutcome:
+    """Returns an outcome in the form in which it is sent."""
     match outcome:
         case outcomes.Answered():
             return WireOutcome(outcome, None, None)
@@ -264,34 +277,34 @@
             return WireOutcome(None, None, outcome)
 
 
-def unwrap_outcome(wire: WireOutcome) -> outcomes.Outcome:
+def outcome_from_wire(wire: WireOutcome) -> outcomes.Outcome:
     """Returns the outcome that was sent."""
     outcome = wire.answered or wire.not_run or wire.unknown
     return outcome or outcomes.Unknown("the front sent no outcome")
 
 
 class PeerUnreachableError(Exception):
-    """An instance did not answer."""
+    """An instance did not reply, or not with a valid message."""
 
     def __init__(self, reason: str, *, never_sent: bool) -> None:
-        """Keeps what is known.
+        """Initializes the error.
 
         Args:
-            reason: What gRPC said.
-            never_sent: Whether the message certainly did not arrive.
+            reason: The error that gRPC or the decoder reported.
+            never_sent: Whether the message was certainly not sent.
         """
         self.reason = reason
         self.never_sent = never_sent
         super().__init__(reason)
 
 
-def _pack(clock: hybrid_clock.HybridClock, body: bytes) -> bytes:
-    """Returns a body with the stamp of this moment."""
+def _encode_stamped(clock: hybrid_clock.HybridClock, body: bytes) -> bytes:
+    """Returns an encoded body with the current timestamp."""
     return _STAMPED.encode(_Stamped(clock.tick(), body))
 
 
-def _unpack(clock: hybrid_clock.HybridClock, data: bytes) -> bytes:
-    """Returns a body and takes its stamp in."""
+def _decode_stamped(clock: hybrid_clock.HybridClock, data: bytes) -> bytes:
+    """Returns the body and advances the clock to its timestamp."""
     stamped = _STAMPED.decode(data)
     clock.observe(stamped.stamp)
     return stamped.body
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers other instances and the command-line tool over gRPC."""
+"""The gRPC server for other instances and the command-line tool."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -27,62 +27,62 @@
 
 
 class PeerService(Protocol):
-    """What an instance does when it is called."""
+    """Implements the methods of the gRPC service."""
 
     async def forward(
         self, request: requests.WireRequest
     ) -> peer_protocol.WireOutcome:
-        """Runs a request at the front of its key's owner."""
+        """Runs a request whose key's owner this instance fronts."""
 
     async def inherit(
         self, request: peer_protocol.InheritRequest
     ) -> peer_protocol.WireOutcome:
-        """Runs a request at the heir of its key's owner."""
+        """Runs a request at the backup of the key's lost owner."""
 
     async def heartbeat(
         self, request: peer_protocol.Heartbeat
     ) -> peer_protocol.HeartbeatReply:
-        """Takes the report of an instance."""
+        """Processes the reports of an instance."""
 
     async def await_release(
         self, request: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Waits until a server has let go of slices."""
+        """Waits until a server has released slices."""
 
-    async def office(
+    async def answer_front_drained(
         self, request: releases.FrontDrainedQuery
     ) -> releases.FrontDrainedReply:
-        """Tells whether all is over that this one did as a front."""
+        """Returns whether this instance has drained as an earlier front."""
 
     async def news(
         self, request: peer_protocol.NewsRequest
     ) -> peer_protocol.NewsReply:
-        """Tells what the instance has read of the control stream."""
+        """Returns records of the control stream that were read here."""
 
-    async def ends(
+    async def exchange_poison_reports(
         self, request: poison_requests.PoisonReport
     ) -> poison_requests.PoisonReport:
-        """Takes in which requests servers ended under."""
+        """Merges a report on requests under which servers ended."""
 
     async def status(
         self, request: peer_protocol.StatusRequest
     ) -> peer_protocol.InstanceStatus:
-        """Tells how the instance is."""
+        """Returns the status of the instance."""
 
     async def owner(
         self, request: peer_protocol.OwnerRequest
     ) -> peer_protocol.OwnerReply:
-        """Tells who owns a key and why."""
+        """Returns the owner of a key, with the log records behind it."""
 
     async def drain(
         self, request: peer_protocol.DrainRequest
     ) -> peer_protocol.DrainReply:
-        """Begins a planned stop."""
+        """Starts a graceful stop."""
 
     async def timeline(
         self, request: peer_protocol.TimelineRequest
     ) -> peer_protocol.TimelineReply:
-        """Tells the events that the instance remembers."""
+        """Returns the events that the instance has recorded."""
 
 
 class PeerServer:
@@ -120,9 +120,15 @@
                                 peer_protocol.AWAIT_RELEASE,
                                 service.await_release,
                             ),
-                            self._handle(peer_protocol.OFFICE, service.office),
+                            self._handle(
+                                peer_protocol.FRONT_DRAINED,
+                                service.answer_front_drained,
+                            ),
                             self._handle(peer_protocol.NEWS, service.news),
-                            self._handle(peer_protocol.ENDS, service.ends),
+                            self._handle(
+                                peer_protocol.POISON_REPORT,
+                                service.exchange_poison_reports,
+                            ),
                             self._handle(peer_protocol.STATUS, service.status),
                             self._handle(peer_protocol.OWNER, service.owner),
                             self._handle(peer_protocol.DRAIN, service.drain),
@@ -137,11 +143,11 @@
         self._server.add_insecure_port(address)
 
     async def start(self) -> None:
-        """Begins to answer."""
+        """Starts to accept calls."""
         await self._server.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Stops after calls in flight have ended, or after a grace."""
+        """Stops once calls in flight have ended or the grace is over."""
         await self._server.stop(grace_s)
 
     def _handle(
@@ -149,7 +155,7 @@
         method: peer_protocol.Method[Q, A],
         answer: Callable[[Q], Awaitable[A]],
     ) -> tuple[str, Any]:
-        """Returns the gRPC handler of a method under its name."""
+        """Returns a method's name and its gRPC handler."""
 
         async def handle(
             data: bytes, context: grpc.aio.ServicerContext
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -248,9 +248,9 @@
     "Inherit": "inherit",
     "Heartbeat": "heartbeat",
     "AwaitRelease": "await_release",
-    "Office": "office",
+    "Office": "answer_front_drained",
     "News": "news",
-    "Ends": "ends",
+    "Ends": "exchange_poison_reports",
 }
 
 
