--- a/libs/bridgecross-entry/tests/test_caller_age.py
+++ b/libs/bridgecross-entry/tests/test_caller_age.py
@@ -5,15 +5,15 @@
 from bridgecross_entry import caller_age
 
 
-def _ages(*stated_ms: float) -> caller_age.CallerAgeEstimator:
-    ages = caller_age.CallerAgeEstimator(caller_age.CallerAgeSettings())
-    for each in stated_ms:
-        ages.add(each)
-    return ages
+def _make_estimator(*stated_ms: float) -> caller_age.CallerAgeEstimator:
+    estimator = caller_age.CallerAgeEstimator(caller_age.CallerAgeSettings())
+    for timeout_ms in stated_ms:
+        estimator.add(timeout_ms)
+    return estimator
 
 
 @pytest.mark.parametrize(
-    ("seen", "stated_ms", "age_s"),
+    ("sample_ms", "stated_ms", "age_s"),
     [
         pytest.param([], 400.0, 0.0, id="nobody was seen"),
         pytest.param([2_500.0], 400.0, 0.0, id="one alone says nothing"),
@@ -24,34 +24,40 @@
         pytest.param([2_500.0] * 9, None, 0.0, id="states nothing"),
     ],
 )
-def test_age_is_what_is_missing_from_the_usual_patience(seen, stated_ms, age_s):
-    assert _ages(*seen).age_s(stated_ms) == pytest.approx(age_s, abs=0.05)
+def test_age_is_the_difference_from_the_initial_timeout(
+    sample_ms, stated_ms, age_s
+):
+    assert _make_estimator(*sample_ms).age_s(stated_ms) == pytest.approx(
+        age_s, abs=0.05
+    )
 
 
-def test_first_attempts_on_new_connections_agree():
-    """After a restart nobody has a connection, and each takes its own time."""
+def test_first_attempts_on_new_connections_have_age_zero():
+    """After a restart all callers reconnect, which takes different times."""
     rng = random.Random(1)
-    seen = [rng.uniform(2_474, 2_485) for _ in range(30)]
-    seen += [rng.uniform(100, 2_300) for _ in range(60)]
-    rng.shuffle(seen)
-    ages = _ages(*seen)
-    assert ages.age_s(2_476.0) == 0.0
-    assert ages.age_s(1_480.0) == pytest.approx(1.0, abs=0.05)
+    sample_ms = [rng.uniform(2_474, 2_485) for _ in range(30)]
+    sample_ms += [rng.uniform(100, 2_300) for _ in range(60)]
+    rng.shuffle(sample_ms)
+    estimator = _make_estimator(*sample_ms)
+    assert estimator.age_s(2_476.0) == 0.0
+    assert estimator.age_s(1_480.0) == pytest.approx(1.0, abs=0.05)
 
 
-def test_first_attempts_stand_out_among_many_that_come_back():
+def test_initial_timeout_is_found_among_many_retries():
     rng = random.Random(1)
-    seen = [2_500.0] * 60 + [rng.uniform(100, 2_400) for _ in range(140)]
-    rng.shuffle(seen)
-    assert _ages(*seen).age_s(1_500.0) == pytest.approx(1.0, abs=0.05)
+    sample_ms = [2_500.0] * 60 + [rng.uniform(100, 2_400) for _ in range(140)]
+    rng.shuffle(sample_ms)
+    assert _make_estimator(*sample_ms).age_s(1_500.0) == pytest.approx(
+        1.0, abs=0.05
+    )
 
 
-def test_nobody_is_old_where_all_callers_differ():
+def test_age_is_zero_if_all_timeouts_differ():
     rng = random.Random(1)
-    ages = _ages(*(rng.uniform(100, 2_500) for _ in range(200)))
-    assert ages.age_s(300.0) == 0.0
+    estimator = _make_estimator(*(rng.uniform(100, 2_500) for _ in range(200)))
+    assert estimator.age_s(300.0) == 0.0
 
 
-def test_another_patience_is_learned_once_the_old_one_is_gone():
-    ages = _ages(*[2_500.0] * 200, *[800.0] * 190)
-    assert ages.age_s(700.0) == pytest.approx(0.1, abs=0.02)
+def test_new_initial_timeout_is_adopted_once_the_old_one_is_gone():
+    estimator = _make_estimator(*[2_500.0] * 200, *[800.0] * 190)
+    assert estimator.age_s(700.0) == pytest.approx(0.1, abs=0.02)
--- a/libs/bridgecross-entry/tests/test_edge.py
+++ b/libs/bridgecross-entry/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Requests that do not come whole reach nobody, and leave no trace."""
+"""Tests that incomplete requests are not dispatched and leave no state."""
 
 import entry_support as support
 import pytest
@@ -10,18 +10,18 @@
 
 
 class Dispatcher:
-    """Runs nothing, and keeps what it is asked to run."""
+    """A dispatcher that only records the requests that it is given."""
 
     def __init__(self) -> None:
         self.routes = None
-        self.asked: list[object] = []
+        self.requests: list[object] = []
 
     async def run(self, request):
-        self.asked.append(request)
+        self.requests.append(request)
 
 
 class Codec:
-    """An ``edge.CallerCodec`` that passes bodies on."""
+    """An ``edge.CallerCodec`` that returns the body as the request."""
 
     def read(self, scope, body, received_s):
         return body
@@ -30,37 +30,41 @@
         raise NotImplementedError
 
 
-def _piece(body: bytes, *, more: bool) -> dict[str, object]:
+def _body_part(body: bytes, *, more: bool) -> dict[str, object]:
     return {"type": "http.request", "body": body, "more_body": more}
 
 
-LEFT = {"type": "http.disconnect"}
+DISCONNECT = {"type": "http.disconnect"}
 
 
 @pytest.mark.parametrize(
-    ("messages", "asked"),
+    ("messages", "requests"),
     [
-        pytest.param([LEFT], [], id="nothing came"),
-        pytest.param([_piece(b"a", more=True), LEFT], [], id="a part came"),
+        pytest.param([DISCONNECT], [], id="nothing came"),
         pytest.param(
-            [_piece(b"a", more=True), _piece(b"b", more=False)],
+            [_body_part(b"a", more=True), DISCONNECT], [], id="a part came"
+        ),
+        pytest.param(
+            [_body_part(b"a", more=True), _body_part(b"b", more=False)],
             [b"ab"],
             id="whole",
         ),
     ],
 )
-async def test_only_whole_requests_are_run(messages, asked):
+async def test_only_complete_requests_are_dispatched(messages, requests):
     real = clock.SystemClock()
     dispatcher = Dispatcher()
-    taker = edge.Edge(dispatcher, Codec(), support.make_journal(real), real)
-    left = list(messages)
+    caller_edge = edge.Edge(
+        dispatcher, Codec(), support.make_journal(real), real
+    )
+    remaining = list(messages)
 
     async def receive():
-        return left.pop(0)
+        return remaining.pop(0)
 
     async def send(message):
         raise AssertionError("there is nothing to answer")
 
-    await taker.serve({"state": {}}, receive, send)
-    assert dispatcher.asked == asked
-    assert taker.open_count == 0
+    await caller_edge.serve({"state": {}}, receive, send)
+    assert dispatcher.requests == requests
+    assert caller_edge.open_count == 0
--- a/libs/bridgecross-entry/tests/test_exchange.py
+++ b/libs/bridgecross-entry/tests/test_exchange.py
@@ -19,18 +19,18 @@
 
 @contextlib.asynccontextmanager
 async def _serving(*scripts: list[bytes | None]):
-    """Serves connections by script: each request gets the next bytes.
+    """Serves each connection by a script: each request gets the next bytes.
 
-    None resets the connection and an empty text closes it, both without
-    waiting for a request. Otherwise it stays open, in silence.
+    None resets the connection and an empty byte string closes it, both without
+    waiting for a request. After its script, a connection stays open silently.
     """
-    left = list(scripts)
-    used = []
+    unused_scripts = list(scripts)
+    request_counts = []
 
     async def serve(reader, writer):
-        script = left.pop(0)
-        number = len(used)
-        used.append(0)
+        script = unused_scripts.pop(0)
+        number = len(request_counts)
+        request_counts.append(0)
         for answer in script:
             if answer is None:
                 await asyncio.sleep(0.02)
@@ -44,7 +44,7 @@
                 writer.close()
                 return
             await reader.readuntil(b"\r\n\r\n")
-            used[number] += 1
+            request_counts[number] += 1
             writer.write(answer)
             await writer.drain()
         with contextlib.suppress(ConnectionError):
@@ -52,12 +52,12 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = model.Address(*server.sockets[0].getsockname()[:2])
-    # What a process that stands still while it connects makes of it has a test
-    # of its own; here it would hide what the test is about.
+    # On a busy machine, a connect timeout would hide what these tests check; it
+    # has a test of its own.
     settings = exchange.ConnectionSettings(connect_timeout_s=10.0)
     pool = exchange.ConnectionPool(address, settings, clock.SystemClock())
     try:
-        yield pool, used
+        yield pool, request_counts
     finally:
         pool.close()
         server.close()
@@ -73,13 +73,13 @@
         return await pool.exchange(b"GET / HTTP/1.1\r\n\r\n", accepts)
 
 
-async def test_a_whole_answer_is_returned_and_the_connection_used_again():
-    async with _serving([OK % b"1", OK % b"1"]) as (pool, used):
+async def test_complete_answer_is_returned_and_the_connection_reused():
+    async with _serving([OK % b"1", OK % b"1"]) as (pool, request_counts):
         for _ in range(2):
             reply = await _ask(pool)
             assert isinstance(reply, exchange.Reply)
             assert reply.body == b"ok"
-        assert used == [2]
+        assert request_counts == [2]
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         ),
     ],
 )
-async def test_what_is_not_whole_is_no_answer(script):
+async def test_incomplete_answer_is_an_error(script):
     async with _serving(script) as (pool, _):
         assert isinstance(await _ask(pool), exchange.Broken)
 
@@ -111,79 +111,84 @@
         assert reply.body == b"whole"
 
 
-async def test_an_answer_without_length_that_is_reset_is_not_whole():
+async def test_reset_answer_without_length_is_an_error():
     async with _serving([b"HTTP/1.1 200 OK\r\n\r\npart", None]) as (pool, _):
         assert isinstance(await _ask(pool), exchange.Broken)
 
 
-async def test_a_process_that_stands_still_while_it_connects_sent_nothing():
-    """The connection was made meanwhile, but its time is over by then."""
-    async with _serving([OK % b"1"]) as (made, used):
+async def test_blocked_process_that_exceeds_the_connect_timeout_sends_nothing():
+    """The connection is established meanwhile, but after the timeout."""
+    async with _serving([OK % b"1"]) as (serving_pool, request_counts):
         pool = exchange.ConnectionPool(
-            made.address, exchange.ConnectionSettings(), clock.SystemClock()
+            serving_pool.address,
+            exchange.ConnectionSettings(),
+            clock.SystemClock(),
         )
         loop = asyncio.get_running_loop()
-        # Once it has begun to connect; as on a machine that gives it no time.
+        # Blocks the loop once it has begun to connect, like a busy machine.
         loop.call_soon(loop.call_soon, time.sleep, 0.3)
         result = await _ask(pool)
         assert result == exchange.Unsent("connecting took too long", False)
-        assert not any(used)
+        assert not any(request_counts)
 
 
-async def test_a_late_answer_to_another_request_is_passed_over():
+async def test_late_answer_to_another_request_is_ignored():
     late_then_right = OK % b"0" + OK % b"1"
-    async with _serving([late_then_right], [OK % b"2"]) as (pool, used):
+    async with _serving([late_then_right], [OK % b"2"]) as (
+        pool,
+        request_counts,
+    ):
         reply = await _ask(pool)
         assert isinstance(reply, exchange.Reply)
         assert reply.header(b"request-id") == b"1"
         await _ask(pool, b"2")
-        assert used == [1, 1]
+        assert request_counts == [1, 1]
 
 
-async def test_a_connection_with_a_surplus_answer_is_not_used_again():
+async def test_connection_with_an_unexpected_answer_is_not_reused():
     twice = OK % b"1" + OK % b"1"
-    async with _serving([twice], [OK % b"2"]) as (pool, used):
+    async with _serving([twice], [OK % b"2"]) as (pool, request_counts):
         assert isinstance(await _ask(pool), exchange.Reply)
         reply = await _ask(pool, b"2")
         assert isinstance(reply, exchange.Reply)
-        assert used == [1, 1]
+        assert request_counts == [1, 1]
 
 
-async def test_a_server_that_asks_to_close_is_heeded():
+async def test_connection_close_of_the_server_is_respected():
     closing = (
         b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
     )
-    async with _serving([closing], [OK % b"1"]) as (pool, used):
+    async with _serving([closing], [OK % b"1"]) as (pool, request_counts):
         await _ask(pool)
         await _ask(pool)
-        assert used == [1, 1]
+        assert request_counts == [1, 1]
 
 
 async def test_a_cancelled_exchange_closes_its_connection():
-    async with _serving([], [OK % b"1"]) as (pool, used):
+    async with _serving([], [OK % b"1"]) as (pool, request_counts):
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.05):
                 await pool.exchange(b"GET / HTTP/1.1\r\n\r\n", lambda r: True)
         assert isinstance(await _ask(pool), exchange.Reply)
-        assert used == [0, 1]
+        assert request_counts == [0, 1]
 
 
-# An order that was given up was taken seconds later.
-async def test_what_is_given_up_is_not_sent_again():
-    listening = socket.create_server(("127.0.0.1", 0))
-    address = model.Address(*listening.getsockname())
+# Guards against an order that was cancelled, but was executed seconds later.
+async def test_cancelled_request_is_not_retransmitted():
+    listening_socket = socket.create_server(("127.0.0.1", 0))
+    address = model.Address(*listening_socket.getsockname())
     pool = exchange.ConnectionPool(
         address, exchange.ConnectionSettings(), clock.SystemClock()
     )
     with anyio.move_on_after(0.1):
         await pool.exchange(b"POST / HTTP/1.1\r\n\r\n", lambda _: True)
     await anyio.sleep(0.05)
-    other_side, _ = listening.accept()
-    with other_side, listening, pytest.raises(ConnectionResetError):
-        other_side.makefile("rb").read()
+    server_socket, _ = listening_socket.accept()
+    with server_socket, listening_socket, pytest.raises(ConnectionResetError):
+        server_socket.makefile("rb").read()
 
 
-async def test_a_refused_connection_is_told_as_such():
+async def test_refused_connection_is_reported_as_refused():
     server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
     address = model.Address(*server.sockets[0].getsockname()[:2])
     server.close()
@@ -197,7 +202,7 @@
 
 async def test_the_answer_to_head_ends_with_its_head():
     head = (OK % b"1").partition(b"ok")[0]
-    async with _serving([head], [OK % b"1"]) as (pool, used):
+    async with _serving([head], [OK % b"1"]) as (pool, request_counts):
         with anyio.fail_after(1):
             reply = await pool.exchange(
                 b"HEAD / HTTP/1.1\r\n\r\n", lambda reply: True
@@ -205,14 +210,14 @@
         assert isinstance(reply, exchange.Reply)
         assert (reply.status, reply.body) == (200, b"")
         assert isinstance(await _ask(pool), exchange.Reply)
-        assert used == [1, 1]
+        assert request_counts == [1, 1]
 
 
-async def test_a_timeout_drops_connections_that_rested_as_long():
-    """They may have gone silent for good; each would cost a timeout."""
+async def test_timeout_closes_connections_that_were_idle_during_it():
+    """They may be dead as well, and each would cost another timeout."""
     async with _serving([OK % b"1"], [OK % b"1"], [OK % b"1", OK % b"1"]) as (
         pool,
-        used,
+        request_counts,
     ):
         pool._settings = dataclasses.replace(
             pool._settings, drops_idle_on_timeout=True
@@ -225,34 +230,37 @@
             await pool.exchange(b"GET / HTTP/1.1\r\n\r\n", lambda reply: True)
         assert not pool.has_idle
         assert isinstance(await _ask(pool), exchange.Reply)
-        assert used == [1, 1, 1]
+        assert request_counts == [1, 1, 1]
 
 
-async def test_a_connection_that_was_there_is_vouched_for():
-    async with _serving([OK % b"1", OK % b"1"]) as (pool, used):
+async def test_connection_opened_before_the_known_time_is_verified():
+    async with _serving([OK % b"1", OK % b"1"]) as (pool, request_counts):
         await _ask(pool)
         now_s = clock.SystemClock().monotonic_s()
         assert pool.prefer_verified(now_s)
         assert not pool.prefer_verified(now_s - 60.0)
         await _ask(pool)
-        assert used == [2]
+        assert request_counts == [2]
 
 
-async def test_an_answer_vouches_for_its_connection_only():
-    async with _serving([OK % b"1"], [OK % b"1", OK % b"1"]) as (pool, used):
+async def test_answer_verifies_only_its_own_connection():
+    async with _serving([OK % b"1"], [OK % b"1", OK % b"1"]) as (
+        pool,
+        request_counts,
+    ):
         await _ask(pool)
-        begun_s = clock.SystemClock().monotonic_s() - 60.0
-        assert not pool.prefer_verified(begun_s)
+        known_s = clock.SystemClock().monotonic_s() - 60.0
+        assert not pool.prefer_verified(known_s)
         reply = await pool.exchange_on_new_connection(
             b"GET /health HTTP/1.1\r\n\r\n", lambda _: True
         )
         assert isinstance(reply, exchange.Reply)
-        assert pool.prefer_verified(begun_s)
+        assert pool.prefer_verified(known_s)
         await _ask(pool)
-        assert used == [1, 2]
+        assert request_counts == [1, 2]
 
 
-async def test_a_connection_that_gives_no_answer_is_not_kept():
+async def test_connection_without_an_answer_is_not_kept():
     async with _serving([None]) as (pool, _):
         reply = await pool.exchange_on_new_connection(
             b"GET /health HTTP/1.1\r\n\r\n", lambda _: True
@@ -261,36 +269,39 @@
         assert not pool.has_idle
 
 
-# Guards against: what was checked before a connection was set up was sent on it
-# a quarter of a second later, to a server that wanted nothing any more.
+# Guards against a request that was checked before its connection was opened and
+# sent a quarter of a second later, to a server that may get nothing any more.
 @pytest.mark.parametrize("is_kept", [True, False])
-async def test_nothing_is_written_that_may_not_be_sent_any_more(is_kept):
-    async with _serving([OK % b"1", OK % b"1", OK % b"1"]) as (pool, used):
+async def test_nothing_is_written_if_sending_is_not_allowed_any_more(is_kept):
+    async with _serving([OK % b"1", OK % b"1", OK % b"1"]) as (
+        pool,
+        request_counts,
+    ):
         if is_kept:
             await _ask(pool)
-        rested = [idle.since_s for idle in pool._idle]
-        asked = []
+        idle_since_s = [idle.since_s for idle in pool._idle]
+        opened_counts = []
 
         def may_send() -> bool:
-            asked.append(pool.opened_count)
+            opened_counts.append(pool.opened_count)
             return False
 
         result = await pool.exchange(b"GET / HTTP/1.1\r\n\r\n", bool, may_send)
         assert result == exchange.Unsent("withheld", False, is_withheld=True)
-        # It was asked once the connection was there, and that is kept.
-        assert asked == [1]
-        # It goes on to be as old as it is.
-        assert not is_kept or [i.since_s for i in pool._idle] == rested
+        # It was called once there was a connection, which is kept.
+        assert opened_counts == [1]
+        # The connection's idle time goes on.
+        assert not is_kept or [i.since_s for i in pool._idle] == idle_since_s
         assert isinstance(await _ask(pool), exchange.Reply)
-        assert (pool.opened_count, used) == (1, [1 + is_kept])
+        assert (pool.opened_count, request_counts) == (1, [1 + is_kept])
 
 
-async def test_no_question_is_written_that_may_not_be_sent_any_more():
-    async with _serving([OK % b"1"]) as (pool, used):
+async def test_nothing_is_written_on_a_new_connection_if_not_allowed():
+    async with _serving([OK % b"1"]) as (pool, request_counts):
         result = await pool.exchange_on_new_connection(
             b"GET / HTTP/1.1\r\n\r\n", bool, lambda: False
         )
         assert isinstance(result, exchange.Unsent)
         assert result.is_withheld
         assert isinstance(await _ask(pool), exchange.Reply)
-        assert used == [1]
+        assert request_counts == [1]
--- a/libs/bridgecross-entry/tests/test_journal.py
+++ b/libs/bridgecross-entry/tests/test_journal.py
@@ -15,7 +15,7 @@
     os.close(writer)
 
 
-def _journal(writer, clock, settings=None):
+def _make_journal(writer, clock, settings=None):
     settings = settings or journal.JournalSettings()
     return journal.Journal("entry-1", settings, clock, writer)
 
@@ -27,7 +27,7 @@
 
 def test_a_line_is_a_json_object(pipe):
     reader, writer = pipe
-    _journal(writer, support.ManualClock()).decision("x", a="{b}", c=None)
+    _make_journal(writer, support.ManualClock()).decision("x", a="{b}", c=None)
     (line,) = _read(reader)
     assert (line["instance"], line["event"], line["a"]) == (
         "entry-1",
@@ -36,36 +36,36 @@
     )
 
 
-def test_volume_is_bounded_and_what_is_dropped_is_told(pipe):
+def test_volume_is_limited_and_dropped_lines_are_counted(pipe):
     reader, writer = pipe
     clock = support.ManualClock()
-    written = _journal(
+    log_journal = _make_journal(
         writer, clock, journal.JournalSettings(routine_lines_per_s=5)
     )
     for _ in range(100):
-        written.routine("request")
+        log_journal.routine("request")
     clock.now_s += 1
-    written.routine("request")
+    log_journal.routine("request")
     lines = _read(reader)
     assert len(lines) == 6
     assert lines[-1]["dropped"] == 95
 
 
-def test_a_reader_that_stops_holds_nothing_up(pipe):
+def test_stalled_reader_does_not_block_the_writer(pipe):
     reader, writer = pipe
     clock = support.ManualClock()
-    written = _journal(
+    log_journal = _make_journal(
         writer, clock, journal.JournalSettings(lifecycle_lines_per_s=1e9)
     )
     for number in range(5_000):
-        written.lifecycle("busy", number=number, text="x" * 100)
-    assert written.dropped_count > 1_000
+        log_journal.lifecycle("busy", number=number, text="x" * 100)
+    assert log_journal.dropped_count > 1_000
     assert _read_all(reader)
-    written.lifecycle("after")
+    log_journal.lifecycle("after")
     lines = []
     for _ in range(4):
         lines += _read_all(reader)
-        written.flush()
+        log_journal.flush()
     assert lines[-1]["event"] == "after"
 
 
@@ -78,5 +78,7 @@
         except BlockingIOError:
             break
         text += piece
-    whole = text[: text.rindex(b"\n")] if b"\n" in text else b""
-    return [json.loads(x) for x in whole.split(b"\n") if x.startswith(b"{")]
+    complete_lines = text[: text.rindex(b"\n")] if b"\n" in text else b""
+    return [
+        json.loads(x) for x in complete_lines.split(b"\n") if x.startswith(b"{")
+    ]
--- a/libs/bridgecross-entry/tests/test_notices.py
+++ b/libs/bridgecross-entry/tests/test_notices.py
@@ -13,8 +13,8 @@
 SERVER = support.make_server("a")
 
 
-class Lines(journal.Journal):
-    """A journal that keeps the decisions."""
+class RecordingJournal(journal.Journal):
+    """A journal that records decisions."""
 
     def __init__(self) -> None:
         self.written: list[tuple[str, dict[str, object]]] = []
@@ -32,83 +32,85 @@
 
 
 @pytest.fixture
-def lines():
-    return Lines()
+def journal_lines():
+    return RecordingJournal()
 
 
 @pytest.fixture
-def heard(clock, lines):
+def reports(clock, journal_lines):
     return notices.Notices(
-        notices.NoticeSettings(), support.BOUNDS, lines, clock
+        notices.NoticeSettings(), support.BOUNDS, journal_lines, clock
     )
 
 
-def test_that_a_run_leaves_is_told_once(heard, lines):
+def test_leaving_run_is_logged_once(reports, journal_lines):
     for _ in range(3):
-        heard.record(SERVER, LEAVING)
-    assert lines.events() == ["server_says_leaving"]
-    assert heard.leaving_count == 1
+        reports.record(SERVER, LEAVING)
+    assert journal_lines.events() == ["server_says_leaving"]
+    assert reports.leaving_count == 1
 
 
-def test_each_rest_is_told_once_and_ends(heard, lines, clock):
-    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
+def test_each_backoff_is_logged_once_and_ends(reports, journal_lines, clock):
+    reports.record(SERVER, attempts.Notice(backoff_s=3.0))
     clock.now_s += 1.0
-    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
-    assert lines.events() == ["server_asks_rest"]
-    assert lines.written[0][1]["rest_s"] == 3.0
-    assert heard.backoff_left_s(SERVER.server_id) >= 3.0
+    reports.record(SERVER, attempts.Notice(backoff_s=3.0))
+    assert journal_lines.events() == ["server_asks_rest"]
+    assert journal_lines.written[0][1]["rest_s"] == 3.0
+    assert reports.backoff_left_s(SERVER.server_id) >= 3.0
     clock.now_s += 5.0
-    assert heard.backoff_left_s(SERVER.server_id) == 0.0
-    assert heard.backoff_count == 0
-    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
-    assert lines.events() == ["server_asks_rest"] * 2
+    assert reports.backoff_left_s(SERVER.server_id) == 0.0
+    assert reports.backoff_count == 0
+    reports.record(SERVER, attempts.Notice(backoff_s=3.0))
+    assert journal_lines.events() == ["server_asks_rest"] * 2
 
 
-def test_a_shorter_rest_ends_no_longer_one(heard):
-    heard.record(SERVER, attempts.Notice(backoff_s=3.0))
-    heard.record(SERVER, attempts.Notice(backoff_s=0.5))
-    assert heard.backoff_left_s(SERVER.server_id) >= 3.0
+def test_shorter_backoff_does_not_end_a_longer_one(reports):
+    reports.record(SERVER, attempts.Notice(backoff_s=3.0))
+    reports.record(SERVER, attempts.Notice(backoff_s=0.5))
+    assert reports.backoff_left_s(SERVER.server_id) >= 3.0
 
 
-def test_what_makes_no_sense_is_told_and_changes_nothing(heard, lines):
+def test_invalid_report_is_logged_and_ignored(reports, journal_lines):
     for _ in range(3):
-        heard.record(SERVER, attempts.Notice(problem="no time"))
-    assert lines.events() == ["notice_unreadable"]
-    assert not heard.leaving_count
-    assert not heard.backoff_left_s(SERVER.server_id)
+        reports.record(SERVER, attempts.Notice(problem="no time"))
+    assert journal_lines.events() == ["notice_unreadable"]
+    assert not reports.leaving_count
+    assert not reports.backoff_left_s(SERVER.server_id)
 
 
-def test_what_is_remembered_is_bounded(heard, monkeypatch):
+def test_number_of_stored_runs_is_limited(reports, monkeypatch):
     monkeypatch.setattr(notices, "_RUNS_MAX_COUNT", 10)
     for number in range(50):
         server = support.make_server(f"s{number}")
-        heard.record(server, attempts.Notice(is_leaving=True, backoff_s=0.001))
-    assert heard.leaving_count == 10
-    assert len(heard._backoff_until_s) == 10
-    assert ids.ServerId("s49") in heard._leaving_since_s
+        reports.record(
+            server, attempts.Notice(is_leaving=True, backoff_s=0.001)
+        )
+    assert reports.leaving_count == 10
+    assert len(reports._backoff_until_s) == 10
+    assert ids.ServerId("s49") in reports._leaving_since_s
 
 
 DRAIN_S = support.BOUNDS.drain_ms / 1_000
 
 
 @pytest.fixture
-def registry(clock, lines):
+def registry(clock, journal_lines):
     made = servers.ServerRegistry(
-        servers.ServerSettings(), support.BOUNDS, lines, clock
+        servers.ServerSettings(), support.BOUNDS, journal_lines, clock
     )
     made.put(SERVER)
     return made
 
 
-def _say_it_stays(registry):
+def _list_as_staying(registry):
     registry.put(SERVER)
 
 
-def _say_it_stays_anew(registry):
+def _list_changed_as_staying(registry):
     registry.put(dataclasses.replace(SERVER, slots=9))
 
 
-def _go_and_return(registry):
+def _remove_and_return(registry):
     registry.remove(SERVER.server_id, log_was_unavailable=False)
     registry.put(SERVER)
 
@@ -123,31 +125,31 @@
     registry.put(SERVER)
 
 
-def _say_it_again(registry):
+def _report_leaving_again(registry):
     registry.notices.record(SERVER, LEAVING)
 
 
-def _be_heard_without_it(registry):
+def _report_nothing(registry):
     registry.notices.record(SERVER, attempts.Notice())
 
 
 @pytest.mark.parametrize(
-    "happen",
+    "event",
     [
         pytest.param(lambda registry: None, id="nothing"),
-        pytest.param(_say_it_stays, id="its entry says that it stays"),
-        pytest.param(_say_it_stays_anew, id="a newer entry says so"),
-        pytest.param(_go_and_return, id="it returns to the list"),
+        pytest.param(_list_as_staying, id="its entry says that it stays"),
+        pytest.param(_list_changed_as_staying, id="a newer entry says so"),
+        pytest.param(_remove_and_return, id="it returns to the list"),
         pytest.param(_lapse_and_return, id="its entry lapses and returns"),
         pytest.param(_change_service, id="it is rebuilt"),
-        pytest.param(_say_it_again, id="it says so again"),
-        pytest.param(_be_heard_without_it, id="an answer says nothing"),
+        pytest.param(_report_leaving_again, id="it says so again"),
+        pytest.param(_report_nothing, id="an answer says nothing"),
     ],
 )
-def test_the_first_word_of_a_run_that_leaves_stands(registry, clock, happen):
+def test_first_leaving_report_of_a_run_persists(registry, clock, event):
     registry.notices.record(SERVER, LEAVING)
     clock.now_s += 0.9
-    happen(registry)
+    event(registry)
     server = registry.get(SERVER.server_id)
     assert not registry.is_staying(server, clock.now_s)
     assert registry.may_use(server, clock.now_s)
@@ -156,7 +158,7 @@
     assert not registry.is_staying(server, clock.now_s)
 
 
-def test_the_word_outlasts_that_its_server_is_forgotten(registry, clock):
+def test_leaving_report_outlives_the_entry_of_its_server(registry, clock):
     registry.notices.record(SERVER, LEAVING)
     registry.remove(SERVER.server_id, log_was_unavailable=False)
     clock.now_s += 60
@@ -167,7 +169,7 @@
     assert not registry.may_use(server, clock.now_s)
 
 
-def test_what_the_list_says_first_counts_first(registry, clock):
+def test_earlier_announcement_in_the_list_takes_precedence(registry, clock):
     registry.put(dataclasses.replace(SERVER, leaving=True))
     clock.now_s += 0.5
     registry.notices.record(SERVER, LEAVING)
@@ -176,7 +178,7 @@
     assert not registry.may_use(server, clock.now_s + list_use_s - 0.4)
 
 
-def test_another_run_of_its_name_is_free_of_the_word(registry, clock):
+def test_leaving_report_does_not_affect_the_next_run(registry, clock):
     first = support.make_server("b", started_ms=1)
     following = support.make_server("b", started_ms=2)
     registry.put(first)
@@ -188,7 +190,7 @@
     assert registry.may_use(server, clock.now_s)
 
 
-def test_whoever_waits_for_servers_to_change_is_woken(registry):
+def test_leaving_report_notifies_waiting_tasks(registry):
     count = registry.changed.count
     registry.notices.record(SERVER, LEAVING)
     assert registry.changed.count == count + 1
--- a/libs/bridgecross-entry/tests/test_relaying.py
+++ b/libs/bridgecross-entry/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""The leader's words, over messages as they are sent, without a network."""
+"""Tests of relay messages, encoded as on the wire but without a network."""
 
 import dataclasses
 
@@ -22,22 +22,22 @@
 pytestmark = pytest.mark.anyio
 
 
-class Wire(peers.PeerClient):
-    """Hands messages to other instances of the same process."""
+class LocalPeerClient(peers.PeerClient):
+    """A peer client that calls other instances in the same process."""
 
     def __init__(self, members) -> None:
         real = clock.SystemClock()
         super().__init__(peers.PeerSettings(), support.make_journal(real), real)
         self._members = members
-        # Addresses that no message reaches.
-        self.cut: set[model.Address] = set()
-        # Where messages went, and how long they were.
+        # Addresses that cannot be reached.
+        self.unreachable: set[model.Address] = set()
+        # The address and length of each message.
         self.sent: list[tuple[model.Address, int]] = []
 
     async def _call(self, address, path, body):
         self.sent.append((address, len(body)))
         await anyio.lowlevel.checkpoint()
-        if address in self.cut:
+        if address in self.unreachable:
             return peers._CallResult(peers.Reception.UNKNOWN)
         reply = self._members[address].server.answer(path, body)
         receptions = {
@@ -48,7 +48,7 @@
 
 
 class Member:
-    """An instance with its own way to the log."""
+    """An instance with its own connection to the log."""
 
     def __init__(self, platform_log, members, settings) -> None:
         real = clock.SystemClock()
@@ -56,7 +56,7 @@
         self.address = model.Address("127.0.0.1", 7_000 + len(members))
         members[self.address] = self
         self.reader = cluster_state_support.Reader(platform_log)
-        self.wire = Wire(members)
+        self.peer_client = LocalPeerClient(members)
         self.lead = leadership.Leadership(
             leadership.LeadershipSettings(),
             dataclasses.replace(
@@ -76,8 +76,8 @@
             settings,
             self.reader.state,
             self.lead,
-            self.wire,
-            self.make_news(platform_log, real),
+            self.peer_client,
+            self.make_poison_broadcaster(platform_log, real),
             lambda: tuple(a for a in members if a != self.address),
             journal,
             real,
@@ -90,7 +90,7 @@
             journal,
         )
 
-    def make_news(
+    def make_poison_broadcaster(
         self, platform_log, real
     ) -> poison_broadcast.PoisonBroadcaster:
         journal = support.make_journal(real)
@@ -106,13 +106,13 @@
             real,
         )
 
-    async def tell(self) -> None:
+    async def broadcast(self) -> None:
         async with anyio.create_task_group() as tasks:
             await self.relayer.broadcast(tasks)
 
 
 class Scene:
-    """Three instances; the first leads."""
+    """Three instances, of which the first one leads."""
 
     def __init__(self, **settings: int) -> None:
         self.shared = fakes.MemoryLog()
@@ -136,10 +136,10 @@
         self.leader, *self.others = self.members
         self.leader.lead._claim = leadership.Claim(3, "leader")
         self.leader.lead.is_leader = True
-        self.voice(True)
+        self.set_knows_claims(True)
 
-    def voice(self, knows_claims: bool) -> None:
-        """Sets whether the others have read who claimed."""
+    def set_knows_claims(self, knows_claims: bool) -> None:
+        """Sets whether the others have read the claims, and so count."""
         for other in self.others:
             other.lead.knows_claims = knows_claims
 
@@ -152,84 +152,84 @@
     async def read(self) -> None:
         for member in self.members:
             await member.reader.read()
-        # As whoever takes the lead does.
+        # As a new leader does.
         self.leader.reader.state.start_relaying()
 
     def versions(self) -> list[int]:
         return [member.reader.versions[-1] for member in self.members]
 
 
-async def test_what_the_leader_cannot_read_it_learns_from_one_that_can():
+async def test_leader_learns_unreadable_topics_from_a_follower():
     scene = Scene()
     await scene.read()
-    await scene.leader.tell()
-    # The log turns two away, for this topic alone; the third one reads it.
+    await scene.leader.broadcast()
+    # Two instances cannot read this topic any more; the third one can.
     for each in scene.logs[:2]:
         each.unavailable_topics = {"configuration"}
     scene.configure(2)
     await scene.read()
     assert scene.versions() == [1, 1, 2]
     for _ in range(2):
-        await scene.leader.tell()
+        await scene.leader.broadcast()
     assert scene.versions() == [2, 2, 2]
-    # It goes on trying to read for itself.
+    # The leader still tries to read the topic itself.
     configurations = scene.leader.reader.state._configurations.follower
     assert not configurations._is_relayed()
     assert configurations.is_lost
 
 
-async def test_one_that_missed_words_is_told_the_rest_at_once():
+async def test_instance_that_missed_messages_catches_up_immediately():
     scene = Scene()
     await scene.read()
-    await scene.leader.tell()
-    scene.leader.wire.cut = {scene.others[0].address}
+    await scene.leader.broadcast()
+    scene.leader.peer_client.unreachable = {scene.others[0].address}
     for version in range(2, 9):
         scene.configure(version)
         await scene.leader.reader.read()
-        await scene.leader.tell()
+        await scene.leader.broadcast()
     assert scene.versions() == [8, 1, 8]
-    scene.leader.wire.cut = set()
-    await scene.leader.tell()
+    scene.leader.peer_client.unreachable = set()
+    await scene.leader.broadcast()
     assert scene.versions() == [8, 8, 8]
 
 
-async def test_one_that_starts_while_the_log_turns_it_away_is_told_everything():
+async def test_instance_that_starts_without_the_log_is_sent_everything():
     scene = Scene()
     await scene.members[0].reader.read()
     await scene.members[2].reader.read()
     new = scene.others[0]
     assert not new.reader.state.is_complete
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert new.reader.state.is_complete
     assert new.reader.knows("a")
     assert new.reader.versions == [1]
     assert len(new.reader.state.instances) == 3
 
 
-async def test_what_is_too_long_for_a_word_goes_beside_it():
+async def test_long_changes_are_sent_separately():
     scene = Scene(message_max_bytes=400)
     await scene.read()
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     for number in range(200):
         scene.add("servers", f"server-{number:03}", b"rapor")
     await scene.leader.reader.read()
-    scene.leader.wire.sent.clear()
-    await scene.leader.tell()
-    lengths = sorted(length for _, length in scene.leader.wire.sent)
+    scene.leader.peer_client.sent.clear()
+    await scene.leader.broadcast()
+    lengths = sorted(length for _, length in scene.leader.peer_client.sent)
     assert lengths[1] <= 400 < lengths[2]
     assert all(m.reader.knows("server-199") for m in scene.members)
 
 
-async def test_an_instance_that_is_up_to_date_answers_only_its_time():
+async def test_up_to_date_instance_answers_only_with_its_stamp():
     scene = Scene()
     await scene.read()
     other = scene.others[0]
     for _ in range(2):
-        await scene.leader.tell()
-    word = scene.leader.relayer._make_relay(
+        await scene.leader.broadcast()
+    message = scene.leader.relayer._make_relay(
         scene.leader.reader.state.offsets(), wants_batches=True
     )
-    envelope = peers._ENVELOPES.encode(peers._Envelope(None, word.encoded))
+    envelope = peers._ENVELOPES.encode(peers._Envelope(None, message.encoded))
     reply = other.server.answer(b"/relay", envelope)
     answer = peers._REPLIES.decode(reply.body)
     assert reply.status == 200
@@ -239,12 +239,12 @@
         True,
     )
     assert answer.stamp.process_id == other.relayer._process_id
-    # It goes between failure domains after each word.
+    # The answer to each message is sent across failure domains.
     assert len(reply.body) <= 25
 
 
-def _tell_late(scene, late_s, *, life=None) -> float:
-    """Lets one hear a word that was under way for long; returns its age."""
+def _deliver_late(scene, delay_s, *, process_id=None) -> float:
+    """Delivers a delayed message to one instance; returns the topic's age."""
     other = scene.others[0]
     follower = other.reader.state._configurations.follower
     follower.as_of_s -= 60
@@ -256,39 +256,41 @@
         scene.leader.reader.state.changes_since(other.reader.state.offsets()),
     )
     now_s = clock.SystemClock().monotonic_s()
-    stamp = peers.Stamp(life or other.relayer._process_id, now_s - late_s - 0.5)
+    stamp = peers.Stamp(
+        process_id or other.relayer._process_id, now_s - delay_s - 0.5
+    )
     other.relayer.receive(relay, peers.Echo(stamp, 0.5))
     return follower.age_s
 
 
-@pytest.mark.parametrize("late_s", [0.0, 0.7, 5.0])
-async def test_a_word_is_as_old_as_its_receiver_can_tell(late_s):
-    """Whoever spoke may have stood still between writing and sending it."""
+@pytest.mark.parametrize("delay_s", [0.0, 0.7, 5.0])
+async def test_receiver_determines_the_age_of_a_message(delay_s):
+    """The sender may have been suspended between writing and sending it."""
     scene = Scene()
     await scene.read()
-    assert late_s <= _tell_late(scene, late_s) < late_s + 0.4
+    assert delay_s <= _deliver_late(scene, delay_s) < delay_s + 0.4
 
 
-async def test_a_word_of_unknown_age_makes_nothing_younger():
-    """What it returns was answered by an earlier process at the address."""
+async def test_message_of_unknown_age_does_not_reduce_ages():
+    """The echoed answer is that of an earlier process at the address."""
     scene = Scene()
     await scene.read()
-    assert _tell_late(scene, 0.0, life=1) > 60
+    assert _deliver_late(scene, 0.0, process_id=1) > 60
 
 
-async def test_the_first_word_of_a_leader_is_of_unknown_age():
+async def test_first_message_of_a_leader_has_an_unknown_age():
     scene = Scene()
     await scene.read()
     follower = scene.others[0].reader.state._configurations.follower
     follower.as_of_s -= 60
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert follower.age_s > 60
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert follower.age_s < 1
 
 
-async def test_a_peer_that_was_not_called_for_long_is_not_lost():
-    """Once it failed to answer; nobody has asked it since."""
+async def test_peer_that_was_not_called_recently_is_not_lost():
+    """It failed to answer once, and has not been called since."""
     manual = support.ManualClock()
     answers = [False, False, True]
 
@@ -317,43 +319,43 @@
     assert client.unresponsive_for_s(address) == 0
 
 
-async def test_one_that_knows_of_nobody_else_must_see_the_list_to_lead_alone():
-    """Others may have listed themselves since it lost the log."""
+async def test_sole_instance_must_read_the_list_to_lead():
+    """Others may have joined the list since it lost the log."""
     scene = Scene()
     scene.shared.records[cluster_state.INSTANCE_TOPIC].clear()
     await scene.read()
-    scene.leader.wire.members = {}
+    scene.leader.peer_client.members = {}
     scene.leader.relayer._addresses = tuple
     scene.logs[0].unavailable_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.leader.reader.read()
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].unavailable_topics = set()
     await scene.leader.reader.read()
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s < float("inf")
 
 
-async def test_one_that_has_just_started_counts_for_no_majority():
+async def test_just_started_instance_counts_for_no_majority():
     """In its earlier run it may have followed a later leader."""
     scene = Scene()
     await scene.read()
-    scene.voice(False)
-    scene.leader.wire.cut = {scene.others[1].address}
-    await scene.leader.tell()
+    scene.set_knows_claims(False)
+    scene.leader.peer_client.unreachable = {scene.others[1].address}
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s == float("inf")
-    scene.voice(True)
-    await scene.leader.tell()
+    scene.set_knows_claims(True)
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s < float("inf")
 
 
-async def test_who_does_not_know_the_others_counts_no_majority():
+async def test_instance_without_the_list_counts_no_majority():
     scene = Scene()
     scene.logs[0].unavailable_topics = {cluster_state.INSTANCE_TOPIC}
     await scene.read()
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s == float("inf")
     scene.logs[0].unavailable_topics = set()
     await scene.read()
-    await scene.leader.tell()
+    await scene.leader.broadcast()
     assert scene.leader.lead.majority_known_s < float("inf")
--- a/libs/bridgecross-entry/tests/test_routes.py
+++ b/libs/bridgecross-entry/tests/test_routes.py
@@ -25,7 +25,7 @@
     assert (found and found.name) == expected
 
 
-def test_requests_divide_by_weight_even_over_few_of_them():
+def test_few_requests_are_distributed_by_weight():
     route = support.make_route(services=(("rapor", 90), ("cizim", 10)))
     table = routes.RouteTable(support.make_configuration(route))
     for _ in range(3):
@@ -35,7 +35,7 @@
         assert picks == {"rapor": 18, "cizim": 2}
 
 
-def test_unchanged_weights_go_on_where_they_stood():
+def test_unchanged_weights_keep_their_credits():
     route = support.make_route(services=(("rapor", 50), ("cizim", 50)))
     first = routes.RouteTable(support.make_configuration(route))
     earlier = first.pick_service(route)
--- a/libs/bridgecross-entry/tests/test_tally.py
+++ b/libs/bridgecross-entry/tests/test_tally.py
@@ -12,7 +12,7 @@
 
 
 def _read_lines(count) -> list[dict]:
-    """Returns the lines that are written once some requests were counted."""
+    """Returns the lines written after ``count`` has counted requests."""
     reading, writing = os.pipe()
     journal = journals.Journal(
         "entry-1",
@@ -20,22 +20,26 @@
         support.ManualClock(),
         writing,
     )
-    sums = tally.RequestTally(journal)
-    count(sums)
-    sums.write(1.0)
+    totals = tally.RequestTally(journal)
+    count(totals)
+    totals.write(1.0)
     os.close(writing)
     with open(reading, encoding="utf-8") as file:
         return [json.loads(line) for line in file]
 
 
 def test_requests_are_summed_up_by_route():
-    def count(sums):
+    def count(totals):
         read, file = support.make_route("/r/"), support.make_route("/f/")
-        sums.count(
+        totals.count(
             read, CATALOGUE, tally.RequestResult(True, tally.IN_TIME, 0.1)
         )
-        sums.count(read, CATALOGUE, tally.RequestResult(False, "no_room", 0.2))
-        sums.count(file, CATALOGUE, tally.RequestResult(True, tally.LATE, 0.3))
+        totals.count(
+            read, CATALOGUE, tally.RequestResult(False, "no_room", 0.2)
+        )
+        totals.count(
+            file, CATALOGUE, tally.RequestResult(True, tally.LATE, 0.3)
+        )
 
     first, second = _read_lines(count)
     assert first["route"] == "route/r/"
@@ -45,11 +49,11 @@
     assert second["outcomes"] == {"late": 1}
 
 
-def test_lines_are_bounded_and_what_is_left_out_is_said():
-    def count(sums):
+def test_number_of_lines_is_limited_and_the_rest_is_counted():
+    def count(totals):
         for number in range(60):
             route = support.make_route(f"/{number}/")
-            sums.count(
+            totals.count(
                 route, CATALOGUE, tally.RequestResult(True, tally.LATE, 0.1)
             )
 
@@ -78,5 +82,5 @@
         (["s1: something new"], tally.OTHER_CAUSE),
     ],
 )
-def test_causes_are_named_by_the_last_of_the_trail(trail, cause):
+def test_cause_is_found_by_the_last_trail_entry(trail, cause):
     assert tally.find_cause(trail) == cause
