--- a/libs/bridgecross-entry/src/bridgecross_entry/metrics.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/metrics.py
@@ -68,7 +68,7 @@
             registry=self.registry,
             buckets=_LATENCY_BUCKETS_S,
         )
-        self.beliefs = aioprometheus.Gauge(
+        self.instance_state = aioprometheus.Gauge(
             "bridgecross_beliefs",
             "What the instance believes: versions, ages in seconds, counts.",
             registry=self.registry,
--- a/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/runtime.py
@@ -189,7 +189,7 @@
 
     def _refresh_metrics(self) -> None:
         """Updates the gauges, which are set only when metrics are read."""
-        gauge = self._parts.metrics.beliefs
+        gauge = self._parts.metrics.instance_state
         now_s = self._clock.monotonic_s()
         configuration = self._parts.cluster_state.configuration
         version = configuration.version if configuration else math.nan
--- a/libs/bridgecross-entry/tests/test_caller_age.py
+++ b/libs/bridgecross-entry/tests/test_caller_age.py
@@ -15,8 +15,8 @@
 @pytest.mark.parametrize(
     ("sample_ms", "stated_ms", "age_s"),
     [
-        pytest.param([], 400.0, 0.0, id="nobody was seen"),
-        pytest.param([2_500.0], 400.0, 0.0, id="one alone says nothing"),
+        pytest.param([], 400.0, 0.0, id="no attempts yet"),
+        pytest.param([2_500.0], 400.0, 0.0, id="one attempt is not enough"),
         pytest.param([2_500.0] * 9, 2_500.0, 0.0, id="a first attempt"),
         pytest.param([2_500.0] * 9, 2_481.0, 0.0, id="on a new connection"),
         pytest.param([2_500.0] * 9, 2_100.0, 0.4, id="comes back"),
--- a/libs/bridgecross-entry/tests/test_dispatch.py
+++ b/libs/bridgecross-entry/tests/test_dispatch.py
@@ -193,7 +193,7 @@
     [
         pytest.param(0.5, 404, id="known to be the newest"),
         pytest.param(2.5, 503, id="may have changed"),
-        pytest.param(float("inf"), 503, id="told by nobody"),
+        pytest.param(float("inf"), 503, id="never confirmed"),
     ],
 )
 async def test_unknown_route_is_reported_only_by_a_current_configuration(
--- a/libs/bridgecross-entry/tests/test_dispatch_notices.py
+++ b/libs/bridgecross-entry/tests/test_dispatch_notices.py
@@ -23,9 +23,7 @@
 
 
 async def _never(timeout_s):
-    raise AssertionError(
-        "the request waiter_outcomes for a change of the key map"
-    )
+    raise AssertionError("the request waited for a change of the key map")
 
 
 def _report(scene, notice, servers):
--- a/libs/bridgecross-entry/tests/test_last_check.py
+++ b/libs/bridgecross-entry/tests/test_last_check.py
@@ -83,9 +83,9 @@
 
 
 def _evacuate(scene):
-    word = evacuations.EvacuationChange("hall-1", is_evacuated=True)
+    change = evacuations.EvacuationChange("hall-1", is_evacuated=True)
     long_ago_s = time.clock_gettime(time.CLOCK_BOOTTIME) - 60.0
-    scene.registry.evacuate([word], long_ago_s)
+    scene.registry.evacuate([change], long_ago_s)
 
 
 def _refuse_poison(scene):
@@ -204,9 +204,9 @@
 
 async def test_withheld_request_goes_to_another_server():
     wire, scene = _make_scene("first try", support.BOUNDS)
-    rest = attempts.Notice(backoff_s=3.0)
+    backoff = attempts.Notice(backoff_s=3.0)
     wire.on_last_wait = lambda: scene.registry.notices.record(
-        support.make_server("a"), rest
+        support.make_server("a"), backoff
     )
     assert await scene.ask() is scenes.OK
     assert wire.sent == ["b"]
