--- a/libs/bridgecross-cli/src/bridgecross_cli/__init__.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/__init__.py
@@ -1,8 +1,10 @@
-"""bridgecross, the command-line tool of operators.
+"""The ``bridgecross`` command-line tool for operators.
 
 * ``main``: the command line.
-* ``reach``: finds and calls the instances, and reads the log.
+* ``cluster_client``: finds and calls the entry instances, and reads the log.
 * ``publishing``: publishes settings and waits until they are in force.
+* ``log_analysis``: explains failed requests from the logs of instances.
+* ``value_report``: computes the value of answers from the logs of instances.
 """
 
-__all__ = ["main", "publishing", "reach"]
+__all__ = ["cluster_client", "main", "publishing"]
--- a/libs/bridgecross-cli/src/bridgecross_cli/_commands.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/_commands.py
@@ -1,11 +1,11 @@
-"""What each command does."""
+"""The commands that work with settings and running instances."""
 
 import argparse
 import sys
 from typing import Any
 
+from bridgecross_cli import cluster_client
 from bridgecross_cli import publishing
-from bridgecross_cli import reach
 from bridgecross_core import codec
 from bridgecross_core import findings
 from bridgecross_core import ids
@@ -23,7 +23,7 @@
 
 
 def print_findings(error: findings.FindingsError, *, as_json: bool) -> None:
-    """Prints every finding with its place."""
+    """Prints all findings."""
     if as_json:
         print(codec.to_json(error.findings, indent=2))
         return
@@ -33,21 +33,23 @@
 
 
 async def check_settings(options: argparse.Namespace) -> int:
-    """Reports every problem of a file."""
-    house = check.check_text(reach.read_text(options.file), str(options.file))
+    """Validates a settings file and reports every problem."""
+    house = check.check_text(
+        cluster_client.read_text(options.file), str(options.file)
+    )
     _print(options, f"{options.file}: sound", {"house": house.name})
     return EXIT_OK
 
 
 async def show_settings(options: argparse.Namespace) -> int:
-    """Shows settings, whole or as they take effect at one node."""
+    """Shows a whole settings document, or the effective values of a node."""
     version: int = ids.NO_OFFSET
     if options.file:
         house = check.check_text(
-            reach.read_text(options.file), str(options.file)
+            cluster_client.read_text(options.file), str(options.file)
         )
     else:
-        connection = reach.read_connection(options.connect)
+        connection = cluster_client.read_connection(options.connect)
         newest = await publishing.read_version(connection, connection.place)
         if newest is None:
             print("no settings are published", file=sys.stderr)
@@ -64,78 +66,80 @@
 
 
 async def publish_settings(options: argparse.Namespace) -> int:
-    """Publishes a file, and waits until it is in force."""
-    house = check.check_text(reach.read_text(options.file), str(options.file))
-    connection = reach.read_connection(options.connect)
-    wanted = publishing.Publication(
+    """Publishes a settings file and waits until it is in force."""
+    house = check.check_text(
+        cluster_client.read_text(options.file), str(options.file)
+    )
+    connection = cluster_client.read_connection(options.connect)
+    request = publishing.PublishRequest(
         house, ids.Offset(options.base), options.author, options.summary
     )
-    outcome = await publishing.publish(connection, connection.place, wanted)
+    outcome = await publishing.publish(connection, connection.place, request)
     match outcome:
         case publishing.Published():
             return await _report_published(options, connection, outcome)
-        case publishing.Clashed():
-            _report_clash(options, outcome)
-        case publishing.PublishUnknown():
+        case publishing.Conflicted():
+            _report_conflict(options, outcome)
+        case publishing.PublishOutcomeUnknown():
             text = f"not certain whether it was published: {outcome.reason}"
             _print(options, text, {"outcome": "unknown"})
     return EXIT_NOT_DONE
 
 
 async def show_status(options: argparse.Namespace) -> int:
-    """Shows how the instances are."""
-    connection = reach.read_connection(options.connect)
-    answers = await reach.call_instances(
-        await reach.list_instances(connection),
+    """Shows the status of all instances."""
+    connection = cluster_client.read_connection(options.connect)
+    results = await cluster_client.call_instances(
+        await cluster_client.list_instances(connection),
         peer_protocol.STATUS,
         peer_protocol.StatusRequest(),
     )
-    lines = [line for answer in answers for line in _describe_status(answer)]
-    _print(options, "\n".join(lines), answers)
-    healthy = all(a.reply and not a.reply.not_ready for a in answers)
-    return EXIT_OK if answers and healthy else EXIT_NOT_DONE
+    lines = [line for result in results for line in _describe_status(result)]
+    _print(options, "\n".join(lines), results)
+    healthy = all(a.reply and not a.reply.not_ready for a in results)
+    return EXIT_OK if results and healthy else EXIT_NOT_DONE
 
 
 async def show_owner(options: argparse.Namespace) -> int:
-    """Shows who owns a key, by every instance's newest record."""
-    connection = reach.read_connection(options.connect)
-    answers = await reach.call_instances(
-        await reach.list_instances(connection),
+    """Shows the owner of a key according to each instance."""
+    connection = cluster_client.read_connection(options.connect)
+    results = await cluster_client.call_instances(
+        await cluster_client.list_instances(connection),
         peer_protocol.OWNER,
         peer_protocol.OwnerRequest(
             ids.ServiceName(options.service), options.key
         ),
     )
-    lines = [_describe_owner(answer) for answer in answers]
-    _print(options, "\n".join(lines), answers)
-    found = any(answer.reply and answer.reply.found for answer in answers)
+    lines = [_describe_owner(result) for result in results]
+    _print(options, "\n".join(lines), results)
+    found = any(result.reply and result.reply.found for result in results)
     return EXIT_OK if found else EXIT_NOT_DONE
 
 
 async def drain_instance(options: argparse.Namespace) -> int:
-    """Has one instance stop as planned."""
-    connection = reach.read_connection(options.connect)
-    listed = await reach.list_instances(connection)
+    """Starts the planned shutdown of one instance."""
+    connection = cluster_client.read_connection(options.connect)
+    listed = await cluster_client.list_instances(connection)
     name = ids.InstanceId(options.instance)
     if name not in listed:
         known = ", ".join(sorted(listed)) or "none"
         print(f"no instance {name!r}; listed: {known}", file=sys.stderr)
         return EXIT_BAD_INPUT
-    answers = await reach.call_instances(
+    results = await cluster_client.call_instances(
         {name: listed[name]}, peer_protocol.DRAIN, peer_protocol.DrainRequest()
     )
-    problem = answers[0].problem
-    text = problem or f"{name} stops; {answers[0].reply.in_flight} in flight"
-    _print(options, text, answers)
+    problem = results[0].problem
+    text = problem or f"{name} stops; {results[0].reply.in_flight} in flight"
+    _print(options, text, results)
     return EXIT_UNREACHABLE if problem else EXIT_OK
 
 
 async def show_timeline(options: argparse.Namespace) -> int:
-    """Shows the events of all processes in causal order."""
-    connection = reach.read_connection(options.connect)
-    gathered = await reach.gather_timeline(connection)
-    for answer in gathered.unreachable:
-        print(f"{answer.instance}: {answer.problem}", file=sys.stderr)
+    """Shows the events of all instances in causal order."""
+    connection = cluster_client.read_connection(options.connect)
+    gathered = await cluster_client.gather_timeline(connection)
+    for result in gathered.unreachable:
+        print(f"{result.instance}: {result.problem}", file=sys.stderr)
     timeline = gathered.events
     if options.kind:
         timeline = [event for event in timeline if event.kind in options.kind]
@@ -151,7 +155,7 @@
 
 
 def _show_effective(options: argparse.Namespace, house: tree.House) -> int:
-    """Shows the fields in effect at a node and who set them."""
+    """Shows the effective fields of a node and the levels that set them."""
     try:
         fields = house.list_effective(options.effective)
     except tree.UnknownPathError as error:
@@ -170,16 +174,16 @@
     connection: process.ProcessSettings,
     outcome: publishing.Published,
 ) -> int:
-    """Waits until a version is in force and says where it is."""
-    reached = await publishing.wait_in_force(
+    """Waits until a version is in force and reports it for each instance."""
+    statuses = await publishing.wait_until_in_force(
         connection, outcome.version, options.wait_s
     )
     lines = [f"published version {outcome.version}"]
     lines += [f"  changed {path}" for path in outcome.changed_paths]
     lines += [
-        f"  {line.instance}: "
-        + ("in force" if line.in_force else f"not yet {line.problem}")
-        for line in reached
+        f"  {status.instance}: "
+        + ("in force" if status.in_force else f"not yet {status.problem}")
+        for status in statuses
     ]
     _print(
         options,
@@ -187,17 +191,17 @@
         {
             "version": outcome.version,
             "changed": outcome.changed_paths,
-            "instances": reached,
+            "instances": statuses,
         },
     )
-    done = all(line.in_force for line in reached)
+    done = all(status.in_force for status in statuses)
     return EXIT_OK if done else EXIT_NOT_DONE
 
 
-def _report_clash(
-    options: argparse.Namespace, outcome: publishing.Clashed
+def _report_conflict(
+    options: argparse.Namespace, outcome: publishing.Conflicted
 ) -> None:
-    """Says which change came first and what to do."""
+    """Reports a conflict with a newer version and how to resolve it."""
     lines = [
         f"not published: version {outcome.newest} by "
         f"{outcome.newest_author or 'nobody'} is newest"
@@ -212,11 +216,11 @@
     _print(options, "\n".join(lines), outcome)
 
 
-def _describe_status(answer: reach.Answer) -> list[str]:
-    """Returns an instance's status as lines."""
-    if answer.reply is None:
-        return [f"{answer.instance}: {answer.problem}"]
-    status: peer_protocol.InstanceStatus = answer.reply
+def _describe_status(result: cluster_client.CallResult) -> list[str]:
+    """Returns the lines that describe an instance's status."""
+    if result.reply is None:
+        return [f"{result.instance}: {result.problem}"]
+    status: peer_protocol.InstanceStatus = result.reply
     state = "; ".join(status.not_ready) or "ready"
     lines = [
         f"{status.instance} ({status.failure_domain}): {state}, "
@@ -235,16 +239,16 @@
     return lines
 
 
-def _describe_owner(answer: reach.Answer) -> str:
-    """Returns one instance's view of a key's owner as a line."""
-    if answer.reply is None:
-        return f"{answer.instance}: {answer.problem}"
-    owner: peer_protocol.OwnerReply = answer.reply
+def _describe_owner(result: cluster_client.CallResult) -> str:
+    """Returns a line with the owner of a key according to one instance."""
+    if result.reply is None:
+        return f"{result.instance}: {result.problem}"
+    owner: peer_protocol.OwnerReply = result.reply
     if not owner.found:
-        return f"{answer.instance}: the service is unknown or has no slices"
+        return f"{result.instance}: the service is unknown or has no slices"
     prior = f", waits for {', '.join(owner.prior)}" if owner.prior else ""
     return (
-        f"{answer.instance}: slice {owner.slice} is owned by {owner.server} "
+        f"{result.instance}: slice {owner.slice} is owned by {owner.server} "
         f"by assignment {owner.token} of term {owner.term} "
         f"({owner.coordinator}); front {owner.front} since "
         f"{owner.front_token}{prior}"
@@ -252,7 +256,7 @@
 
 
 def _print(options: argparse.Namespace, text: str, value: object) -> None:
-    """Prints text for people, or a value as JSON for scripts."""
+    """Prints a text, or a value as JSON if ``--json`` is set."""
     if options.json:
         text = codec.to_readable_json(value, indent=2)
     print(text)
--- a/libs/bridgecross-cli/src/bridgecross_cli/_lab.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/_lab_commands.py
@@ -1,4 +1,4 @@
-"""``lab``: houses of emulated instances, played and searched for faults."""
+"""The ``lab`` commands, which simulate houses of emulated instances."""
 
 import argparse
 import json
@@ -14,44 +14,44 @@
 from bridgecross_emulator import search
 
 DRAWS = search.DRAWS
-"""What seeds may stand for, by name."""
+"""The functions that turn a seed into a schedule of events, by name."""
 
 
-def read_seeds(text: str) -> range:
-    """Returns the seeds that ``FIRST-LAST`` names, both inside.
+def parse_seeds(text: str) -> range:
+    """Parses ``FIRST-LAST``, an inclusive range of seeds, or a single seed.
 
     Raises:
-        argparse.ArgumentTypeError: It names none.
+        argparse.ArgumentTypeError: The text is malformed or the range is empty.
     """
     first, dash, last = text.partition("-")
     if not (first.isdecimal() and (last.isdecimal() or not dash)):
         raise argparse.ArgumentTypeError(f"{text!r} is not FIRST-LAST")
     seeds = range(int(first), int(last or first) + 1)
     if not seeds:
-        raise argparse.ArgumentTypeError(f"{text!r} names no seed")
+        raise argparse.ArgumentTypeError(f"{text!r} is an empty range")
     return seeds
 
 
 async def hunt(options: argparse.Namespace) -> int:
-    """Plays houses with random events; keeps what breaks a promise."""
+    """Simulates random events and saves schedules that break a promise."""
     # Virtual time needs an event loop of its own.
     return await to_thread.run_sync(_hunt, options)
 
 
 async def replay(options: argparse.Namespace) -> int:
-    """Plays a kept schedule again."""
+    """Simulates a saved schedule again."""
     return await to_thread.run_sync(_replay, options)
 
 
 def _hunt(options: argparse.Namespace) -> int:
-    """Plays, shrinks and keeps; returns the exit code."""
-    begun_s = time.monotonic()
-    until_s = begun_s + 60 * options.minutes
+    """Runs ``hunt`` in this thread; returns the exit code."""
+    started_s = time.monotonic()
+    until_s = started_s + 60 * options.minutes
     draw = DRAWS[options.draw]
     played_count, found = search.hunt(options.seeds, until_s, draw)
-    took_s = time.monotonic() - begun_s
+    took_s = time.monotonic() - started_s
     for each in found:
-        _keep(each, draw(each.seed), options.keep)
+        _shrink_and_save(each, draw(each.seed), options.keep)
     print(
         f"{played_count} of {len(options.seeds)} houses played in "
         f"{took_s:.1f} s; {len(found)} broke a promise"
@@ -59,29 +59,29 @@
     return _commands.EXIT_NOT_DONE if found else 0
 
 
-def _keep(
+def _shrink_and_save(
     found: search.Found,
     drawn: tuple[faults.Event, ...],
     folder: pathlib.Path,
 ) -> None:
-    """Writes the fewest events that still break the same promise."""
+    """Shrinks a schedule that breaks a promise, and saves it."""
     promise = found.violations[0].promise
 
-    def fails(events: tuple[faults.Event, ...]) -> bool:
+    def breaks_same_promise(events: tuple[faults.Event, ...]) -> bool:
         violations = search.play(events).violations
         return promise in {v.promise for v in violations}
 
-    fewest = search.shrink(drawn, fails)
-    violations = search.play(fewest).violations
+    shrunk = search.shrink(drawn, breaks_same_promise)
+    violations = search.play(shrunk).violations
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"seed-{found.seed}.json"
-    search.save(path, fewest, violations)
-    print(f"seed {found.seed}: {len(fewest)} events left, kept in {path}")
-    _print(violations)
+    search.save(path, shrunk, violations)
+    print(f"seed {found.seed}: {len(shrunk)} events left, kept in {path}")
+    _print_violations(violations)
 
 
 def _replay(options: argparse.Namespace) -> int:
-    """Plays one file; returns the exit code."""
+    """Runs ``replay`` in this thread; returns the exit code."""
     try:
         events = search.load(options.file)
     except (OSError, search.ScheduleError) as error:
@@ -91,12 +91,12 @@
     if options.log:
         for line in played.lines:
             print(json.dumps(line._asdict(), default=str))
-    _print(played.violations)
+    _print_violations(played.violations)
     print(f"{len(played.violations)} violations")
     return _commands.EXIT_NOT_DONE if played.violations else 0
 
 
-def _print(violations: tuple[checks.Violation, ...]) -> None:
-    """Prints what did not hold."""
+def _print_violations(violations: tuple[checks.Violation, ...]) -> None:
+    """Prints violations."""
     for each in violations:
         print(f"  {each.at_s:8.3f} s  {each.promise}: {each.detail}")
--- a/libs/bridgecross-cli/src/bridgecross_cli/reach.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/cluster_client.py
@@ -1,4 +1,4 @@
-"""Finds and calls the instances, and reads the log."""
+"""Finds and calls the entry instances, and reads the log."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -33,15 +33,15 @@
 
 _CALL_TIMEOUT_S = 2.0
 _LOG_TIMEOUT_S = 5.0
-_TOOL_NAME = "bridgecross-tool"
+_CLIENT_NAME = "bridgecross-tool"
 
 
-class ReachError(Exception):
-    """A part of the system could not be reached."""
+class UnreachableError(Exception):
+    """An instance, the instance list or the log did not answer."""
 
 
-class Answer(NamedTuple):
-    """What one instance answered; ``problem`` is set if it did not."""
+class CallResult(NamedTuple):
+    """The reply of one instance, or ``problem`` if the call failed."""
 
     instance: ids.InstanceId
     reply: Any
@@ -49,16 +49,16 @@
 
 
 def read_connection(path: pathlib.Path) -> process.ProcessSettings:
-    """Reads where log and instance list are from a process's settings.
+    """Reads the settings of an instance, which contain the URLs to connect to.
 
     Raises:
-        findings.FindingsError: The file is missing or not sound.
+        findings.FindingsError: The file is missing or invalid.
     """
     return process.check_process_text(read_text(path), str(path))
 
 
 def read_text(path: pathlib.Path) -> str:
-    """Returns a file's text.
+    """Returns the text of a file.
 
     Raises:
         findings.FindingsError: The file cannot be read.
@@ -78,7 +78,7 @@
     """Returns the listed entry instances.
 
     Raises:
-        ReachError: The instance list did not answer.
+        UnreachableError: The instance list could not be read.
     """
     url = connection.instance_list_url
     try:
@@ -91,7 +91,7 @@
                 response.content, list[memberships.Listing]
             )
     except (httpx.HTTPError, codec.CodecError) as error:
-        raise ReachError(f"instance list {url}: {error!r}") from error
+        raise UnreachableError(f"instance list {url}: {error!r}") from error
     membership = memberships.Membership()
     membership.replace(listings)
     return membership.list_instances()
@@ -101,18 +101,22 @@
     listed: dict[ids.InstanceId, memberships.Listing],
     method: peer_protocol.Method[Q, A],
     request: Q,
-) -> list[Answer]:
-    """Calls a method of several instances at once."""
+) -> list[CallResult]:
+    """Calls a method of several instances concurrently.
+
+    Returns:
+        The results of all calls, sorted by instance.
+    """
     clock = hybrid_clock.HybridClock(clocks.SystemClock())
     client = peer_client.PeerClient(clock)
-    answers: list[Answer] = []
+    results: list[CallResult] = []
 
     async def call(name: ids.InstanceId, address: str) -> None:
         try:
             reply = await client.call(address, method, request, _CALL_TIMEOUT_S)
-            answers.append(Answer(name, reply, ""))
+            results.append(CallResult(name, reply, ""))
         except peer_protocol.PeerUnreachableError as error:
-            answers.append(Answer(name, None, error.reason))
+            results.append(CallResult(name, None, error.reason))
 
     try:
         async with anyio.create_task_group() as tasks:
@@ -120,39 +124,39 @@
                 tasks.start_soon(call, name, listing.address)
     finally:
         await client.aclose()
-    return sorted(answers, key=lambda answer: answer.instance)
+    return sorted(results, key=lambda result: result.instance)
 
 
 class GatheredTimeline(NamedTuple):
-    """The events of all instances in causal order, and who did not answer."""
+    """The events of all instances in causal order, and the failed calls."""
 
     events: list[events.Event]
-    unreachable: list[Answer]
+    unreachable: list[CallResult]
 
 
 async def gather_timeline(
     connection: process.ProcessSettings,
 ) -> GatheredTimeline:
-    """Returns the events that the listed instances remember.
+    """Returns the events that the listed instances retain.
 
     Raises:
-        ReachError: The instance list did not answer.
+        UnreachableError: The instance list could not be read.
     """
-    answers = await call_instances(
+    results = await call_instances(
         await list_instances(connection),
         peer_protocol.TIMELINE,
         peer_protocol.TimelineRequest(),
     )
     merged = render.merge(
-        [events.from_wire(wire) for wire in answer.reply.events]
-        for answer in answers
-        if answer.reply
+        [events.from_wire(wire) for wire in result.reply.events]
+        for result in results
+        if result.reply
     )
-    return GatheredTimeline(merged, [a for a in answers if a.problem])
+    return GatheredTimeline(merged, [a for a in results if a.problem])
 
 
 class ControlReader(NamedTuple):
-    """The folded control stream of a place, and a way to append to it."""
+    """The state of a place's control stream, and an appender to the stream."""
 
     state: control.ControlState
     appender: appenders.Appender
@@ -165,7 +169,7 @@
     """Follows the control stream of a place while the context is open.
 
     Raises:
-        ReachError: The log could not be read in time.
+        UnreachableError: The log could not be read in time.
     """
     clock = clocks.SystemClock()
     hybrid = hybrid_clock.HybridClock(clock)
@@ -174,13 +178,13 @@
         http_service.HttpLogSettings(connection.log_url)
     )
     state = control.ControlState(
-        rings.Ring(rings.RingSettings(_TOOL_NAME), hybrid)
+        rings.Ring(rings.RingSettings(_CLIENT_NAME), hybrid)
     )
     follower = followers.Follower(
         followers.FollowerSettings(stream), log, state, clock
     )
     appender = appenders.Appender(
-        appenders.AppenderSettings(stream, _TOOL_NAME), log, hybrid
+        appenders.AppenderSettings(stream, _CLIENT_NAME), log, hybrid
     )
     state.attach(appender, follower)
     try:
@@ -194,4 +198,4 @@
     finally:
         await log.aclose()
     if not follower.caught_up.is_set():
-        raise ReachError(f"log {connection.log_url}: no answer in time")
+        raise UnreachableError(f"log {connection.log_url}: no answer in time")
--- a/libs/bridgecross-cli/src/bridgecross_cli/journals.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/log_analysis.py
@@ -1,4 +1,4 @@
-"""Finds the cause of a failed request in the logs of many instances."""
+"""Analyses the logs of several instances, such as why a request failed."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -8,10 +8,11 @@
 
 from bridgecross_core import codec
 
-_BEFORE_S = 5.0
-"""How far back beliefs are looked for; leases and moves last up to 3 s."""
+_VIEW_CHANGE_WINDOW_S = 5.0
+"""View changes are shown if they are at most this long before the end of the
+request; leases and moves last up to 3 s."""
 
-_BELIEF_EVENTS = frozenset(
+_VIEW_CHANGE_EVENTS = frozenset(
     {
         "configuration_in_force",
         "coordinator_begins",
@@ -39,11 +40,11 @@
         "token_outranked",
     }
 )
-"""Events that change what a process believes."""
+"""Events that change an instance's view of the cluster."""
 
 
-class Line(NamedTuple):
-    """One line of a log."""
+class LogLine(NamedTuple):
+    """One line of an instance's log."""
 
     at_s: float
     instance: str
@@ -51,7 +52,7 @@
     fields: dict[str, Any]
 
     def __str__(self) -> str:
-        """Renders the line for people."""
+        """Renders the line in a readable form."""
         known = {"at_s", "up_s", "instance", "event", "dropped"}
         rest = " ".join(
             f"{name}={value}"
@@ -61,18 +62,21 @@
         return f"{self.at_s:.3f} {self.instance} {self.event} {rest}"
 
 
-class Journals(NamedTuple):
-    """Lines of many instances, in order of their clocks."""
+class ParsedLogs(NamedTuple):
+    """The log lines of several instances, in the order of their timestamps."""
 
-    lines: tuple[Line, ...]
-    # Lines that are no log lines of ours.
+    lines: tuple[LogLine, ...]
+    # The number of lines that are not log lines of bridgecross.
     unreadable_count: int
-    # Lines that the instances say they dropped, by instance.
+    # The number of dropped lines that each instance reports.
     dropped: dict[str, int]
 
 
 class Cause(NamedTuple):
-    """Why a request ended as it did."""
+    """A possible cause of a request's outcome.
+
+    ``pattern`` is a regular expression that is searched in the trail.
+    """
 
     pattern: str
     meaning: str
@@ -150,11 +154,12 @@
         "see server_leaving and keys_moved",
     ),
 )
-"""What the entries of a request's trail mean, the most telling first."""
+"""The causes that entries of a request's trail indicate, the most informative
+first."""
 
 
-def read(texts: Iterable[str]) -> Journals:
-    """Returns the lines of logs; what stands before the JSON is passed over."""
+def parse_logs(texts: Iterable[str]) -> ParsedLogs:
+    """Parses the lines of logs; text before the JSON of a line is ignored."""
     lines = []
     unreadable = 0
     dropped: dict[str, int] = {}
@@ -165,7 +170,7 @@
             continue
         try:
             fields = codec.from_json(text[start:], dict[str, Any])
-            line = Line(
+            line = LogLine(
                 float(fields["at_s"]),
                 str(fields["instance"]),
                 str(fields["event"]),
@@ -178,34 +183,32 @@
         if "dropped" in fields:
             dropped[line.instance] = int(fields["dropped"])
     lines.sort(key=lambda line: (line.at_s, line.instance))
-    return Journals(tuple(lines), unreadable, dropped)
+    return ParsedLogs(tuple(lines), unreadable, dropped)
 
 
-def explain(journals: Journals, request_id: str) -> Iterator[str]:
-    """Yields what became of a request, why, and what was believed then."""
+def explain(logs: ParsedLogs, request_id: str) -> Iterator[str]:
+    """Yields a request's outcome, its causes and preceding view changes."""
     found = [
-        line
-        for line in journals.lines
-        if line.fields.get("request") == request_id
+        line for line in logs.lines if line.fields.get("request") == request_id
     ]
     if not found:
         yield f"no line of request {request_id}"
-        total = sum(journals.dropped.values())
+        total = sum(logs.dropped.values())
         if total:
             yield f"{total} line(s) were dropped; its line may be among them"
         return
     for line in found:
-        yield from _explain_line(journals, line)
+        yield from _explain_line(logs, line)
 
 
 def find_causes(trail: Iterable[str]) -> list[Cause]:
-    """Returns what the entries of a trail mean, the most telling first."""
+    """Returns the causes that a trail indicates, the most informative first."""
     text = "\n".join(trail)
     return [cause for cause in CAUSES if re.search(cause.pattern, text)]
 
 
-def _explain_line(journals: Journals, line: Line) -> Iterator[str]:
-    """Yields what one line of a request says."""
+def _explain_line(logs: ParsedLogs, line: LogLine) -> Iterator[str]:
+    """Yields the explanation of one log line of a request."""
     fields = line.fields
     trail = [str(entry) for entry in fields.get("trail", ())]
     yield (
@@ -223,22 +226,26 @@
         yield f"    next: {cause.next_step}"
     servers = {entry.split(":")[0] for entry in trail}
     yield "  believed before:"
-    for belief in _find_beliefs(journals, line, servers):
-        yield f"    {belief}"
+    for change in _find_view_changes(logs, line, servers):
+        yield f"    {change}"
+
 
+def _find_view_changes(
+    logs: ParsedLogs, line: LogLine, servers: set[str]
+) -> Iterator[LogLine]:
+    """Yields view changes shortly before the end of a request.
 
-def _find_beliefs(
-    journals: Journals, line: Line, servers: set[str]
-) -> Iterator[Line]:
-    """Yields changes of belief shortly before a request ended."""
+    Only changes that concern one of the servers, the request's key or the
+    instance that logged the request are included.
+    """
     key = line.fields.get("key")
-    for other in journals.lines:
-        if not line.at_s - _BEFORE_S <= other.at_s <= line.at_s:
+    for other in logs.lines:
+        if not line.at_s - _VIEW_CHANGE_WINDOW_S <= other.at_s <= line.at_s:
             continue
-        if other.event not in _BELIEF_EVENTS:
+        if other.event not in _VIEW_CHANGE_EVENTS:
             continue
         about_server = other.fields.get("server") in servers
-        about_key = other.event in {"keys_move", "keys_moved"} and _covers(
+        about_key = other.event in {"keys_move", "keys_moved"} and _covers_key(
             other.fields, line.fields.get("service"), key
         )
         own = other.instance == line.instance and "server" not in other.fields
@@ -247,16 +254,16 @@
 
 
 def trace_key(
-    journals: Journals, service: str, key: int, events: frozenset[str]
-) -> Iterator[Line]:
-    """Yields the moves of a key, once each."""
-    for line in journals.lines:
-        if line.event in events and _covers(line.fields, service, key):
+    logs: ParsedLogs, service: str, key: int, events: frozenset[str]
+) -> Iterator[LogLine]:
+    """Yields the lines of the given events that concern a key."""
+    for line in logs.lines:
+        if line.event in events and _covers_key(line.fields, service, key):
             yield line
 
 
-def _covers(fields: dict[str, Any], service: object, key: object) -> bool:
-    """Whether a move is about a key."""
+def _covers_key(fields: dict[str, Any], service: object, key: object) -> bool:
+    """Returns whether the key range of a log line contains a key."""
     return (
         isinstance(key, int)
         and fields.get("service") == service
--- a/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/publishing.py
@@ -1,11 +1,11 @@
-"""Publishes settings and waits until every instance has them."""
+"""Publishes settings and waits until they are in force on all instances."""
 
 from typing import Any
 from typing import NamedTuple
 
 import anyio
 
-from bridgecross_cli import reach
+from bridgecross_cli import cluster_client
 from bridgecross_core import codec
 from bridgecross_core import findings
 from bridgecross_core import ids
@@ -15,11 +15,11 @@
 from bridgecross_settings import tree
 from bridgecross_settings import versions
 
-_POLL_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
-class Publication(NamedTuple):
-    """What an operator wants to publish.
+class PublishRequest(NamedTuple):
+    """Settings to publish.
 
     ``base`` is the version that the operator edited, ``NO_OFFSET`` for the
     first one.
@@ -32,17 +32,17 @@
 
 
 class Published(NamedTuple):
-    """The change is accepted; ``version`` is its offset."""
+    """The change is in the log and valid; ``version`` is its offset."""
 
     version: ids.Offset
     changed_paths: list[str]
 
 
-class Clashed(NamedTuple):
-    """Another change came first.
+class Conflicted(NamedTuple):
+    """The change is rejected because another one was published before it.
 
-    ``clashes`` are the paths that both changed; it is None if the base is no
-    longer known, so that they cannot be told.
+    ``clashes`` are the paths that both changes edited. It is None if the base
+    is no longer known, so that the paths cannot be determined.
     """
 
     newest: ids.Offset
@@ -50,18 +50,18 @@
     clashes: list[str] | None
 
 
-class PublishUnknown(NamedTuple):
-    """The log did not answer: the change may or may not be accepted."""
+class PublishOutcomeUnknown(NamedTuple):
+    """The log did not confirm the change, which may or may not be accepted."""
 
     reason: str
 
 
-PublishOutcome = Published | Clashed | PublishUnknown
-"""What became of a publication."""
+PublishOutcome = Published | Conflicted | PublishOutcomeUnknown
+"""The outcome of a publish request."""
 
 
-class InForce(NamedTuple):
-    """Whether one instance has a version."""
+class InForceStatus(NamedTuple):
+    """Whether a version is in force on one instance."""
 
     instance: ids.InstanceId
     in_force: bool
@@ -69,114 +69,117 @@
 
 
 async def publish(
-    connection: process.ProcessSettings, place: str, wanted: Publication
+    connection: process.ProcessSettings, place: str, request: PublishRequest
 ) -> PublishOutcome:
-    """Publishes to one place and says what became of it.
+    """Publishes settings to one place and returns the outcome.
 
     Raises:
-        reach.ReachError: The log could not be read.
+        cluster_client.UnreachableError: The log could not be read.
     """
-    async with reach.follow_control(connection, place) as reader:
+    async with cluster_client.follow_control(connection, place) as reader:
         newest = reader.state.settings.version
-        if wanted.base != reader.state.settings.offset:
-            return _describe_clash(reader.state.settings, wanted)
+        if request.base != reader.state.settings.offset:
+            return _make_conflict(reader.state.settings, request)
         change = versions.SettingsChange(
-            base=wanted.base,
-            author=wanted.author,
-            summary=wanted.summary,
-            document=codec.to_json(wanted.house.document).encode(),
+            base=request.base,
+            author=request.author,
+            summary=request.summary,
+            document=codec.to_json(request.house.document).encode(),
         )
         outcome = await reader.appender.append(
             versions.CHANGE_KIND, versions.encode_change(change)
         )
-        return _describe_outcome(outcome, reader.state.settings, newest, wanted)
+        return _convert_outcome(outcome, reader.state.settings, newest, request)
 
 
 async def read_version(
     connection: process.ProcessSettings, place: str
 ) -> versions.SettingsVersion | None:
-    """Returns the settings that are published for a place.
+    """Returns the newest published settings of a place, if there are any.
 
     Raises:
-        reach.ReachError: The log could not be read.
+        cluster_client.UnreachableError: The log could not be read.
     """
-    async with reach.follow_control(connection, place) as reader:
+    async with cluster_client.follow_control(connection, place) as reader:
         return reader.state.settings.version
 
 
-async def wait_in_force(
+async def wait_until_in_force(
     connection: process.ProcessSettings, version: ids.Offset, timeout_s: float
-) -> list[InForce]:
-    """Waits until all listed instances have a version, or time runs out.
+) -> list[InForceStatus]:
+    """Waits until a version is in force on all listed instances.
+
+    Returns:
+        The last statuses; after the timeout, some are not in force.
 
     Raises:
-        reach.ReachError: The instance list did not answer.
+        cluster_client.UnreachableError: The instance list could not be read.
     """
-    result: list[InForce] = []
+    statuses: list[InForceStatus] = []
     with anyio.move_on_after(timeout_s):
         while True:
-            result = await _ask_versions(connection, version)
-            if all(line.in_force for line in result):
+            statuses = await _query_versions(connection, version)
+            if all(status.in_force for status in statuses):
                 break
-            await anyio.sleep(_POLL_S)
-    return result
+            await anyio.sleep(_POLL_INTERVAL_S)
+    return statuses
 
 
-async def _ask_versions(
+async def _query_versions(
     connection: process.ProcessSettings, version: ids.Offset
-) -> list[InForce]:
-    """Asks all listed instances once."""
-    listed = await reach.list_instances(connection)
-    answers = await reach.call_instances(
+) -> list[InForceStatus]:
+    """Queries all listed instances once."""
+    listed = await cluster_client.list_instances(connection)
+    results = await cluster_client.call_instances(
         listed, peer_protocol.STATUS, peer_protocol.StatusRequest()
     )
     return [
-        InForce(
-            instance=answer.instance,
-            in_force=answer.reply is not None
-            and answer.reply.settings_version >= version,
-            problem=answer.problem,
+        InForceStatus(
+            instance=result.instance,
+            in_force=result.reply is not None
+            and result.reply.settings_version >= version,
+            problem=result.problem,
         )
-        for answer in answers
+        for result in results
     ]
 
 
-def _describe_outcome(
+def _convert_outcome(
     outcome: appenders.AppendOutcome,
     state: versions.SettingsState,
     old: versions.SettingsVersion | None,
-    wanted: Publication,
+    request: PublishRequest,
 ) -> PublishOutcome:
-    """Returns what the log's verdict means to the operator."""
+    """Converts the outcome of an append to that of a publish request."""
     match outcome:
         case appenders.Applied(offset=offset):
             paths = versions.list_changed_paths(
-                _read_document(old), wanted.house.document
+                _read_document(old), request.house.document
             )
             return Published(offset, paths)
         case appenders.Void():
-            return _describe_clash(state, wanted, old)
+            return _make_conflict(state, request, old)
         case appenders.NotAppended() | appenders.OutcomeUnknown():
-            return PublishUnknown(outcome.reason)
+            return PublishOutcomeUnknown(outcome.reason)
 
 
-def _describe_clash(
+def _make_conflict(
     state: versions.SettingsState,
-    wanted: Publication,
+    request: PublishRequest,
     base: versions.SettingsVersion | None = None,
-) -> Clashed:
-    """Returns which paths two changes of the same base have in common."""
+) -> Conflicted:
+    """Returns the conflict of a request with the newest version."""
     newest = state.version
     if base is None:
-        base = state.find_recent(wanted.base)
+        base = state.find_recent(request.base)
     clashes = None
     if base is not None and newest is not None:
         clashes = versions.list_conflicts(
             _read_document(base),
-            wanted.house.document,
+            request.house.document,
             _read_document(newest),
         )
-    return Clashed(
+    return Conflicted(
         newest=state.offset,
         newest_author=newest.author if newest else "",
         clashes=clashes,
@@ -184,10 +187,10 @@
 
 
 def _read_document(version: versions.SettingsVersion | None) -> dict[str, Any]:
-    """Returns the document of a version; an empty one if there is none.
+    """Returns the document of a version, or an empty one without a version.
 
     Raises:
-        findings.FindingsError: The log holds a damaged document.
+        findings.FindingsError: The document in the log is corrupted.
     """
     if version is None:
         return {}
--- a/libs/bridgecross-cli/tests/test_journals.py
+++ b/libs/bridgecross-cli/tests/test_log_analysis.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bridgecross_cli import journals
+from bridgecross_cli import log_analysis
 from bridgecross_cli import main
 
 
@@ -48,14 +48,14 @@
         (["s1: left meanwhile"], "left, or lost the key"),
     ],
 )
-def test_the_cause_of_ten_kinds_of_failure_is_told(trail, meaning):
-    read = journals.read([_request(trail)])
-    text = "\n".join(journals.explain(read, "id1"))
+def test_the_cause_of_each_kind_of_failure_is_explained(trail, meaning):
+    logs = log_analysis.parse_logs([_request(trail)])
+    text = "\n".join(log_analysis.explain(logs, "id1"))
     assert meaning in text.split("cause:")[1]
 
 
-def test_beliefs_of_the_servers_the_key_and_the_instance_are_shown():
-    read = journals.read(
+def test_view_changes_about_servers_key_and_instance_are_shown():
+    logs = log_analysis.parse_logs(
         [
             "  1.2 entry-1 " + _line(9.0, "log_lost", topic="t"),
             _line(9.1, "server_silent", "entry-2", server="s1"),
@@ -72,7 +72,7 @@
             _request(["s1: not the owner"]),
         ]
     )
-    text = "\n".join(journals.explain(read, "id1"))
+    text = "\n".join(log_analysis.explain(logs, "id1"))
     assert "log_lost" in text
     assert "server=s1" in text
     assert "server=s2" not in text
@@ -80,13 +80,13 @@
     assert "leads" not in text
 
 
-def test_a_request_without_a_line_may_have_been_dropped():
-    read = journals.read([_line(1.0, "started", dropped=12)])
-    text = "\n".join(journals.explain(read, "id1"))
+def test_a_missing_request_mentions_dropped_lines():
+    logs = log_analysis.parse_logs([_line(1.0, "started", dropped=12)])
+    text = "\n".join(log_analysis.explain(logs, "id1"))
     assert "12 line(s) were dropped" in text
 
 
-def test_the_tool_reads_files_and_says_what_it_cannot_read(tmp_path, capsys):
+def test_unreadable_lines_of_files_are_reported(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text(_request(["s1: shed with 503"]) + "\nsomething else\n")
     assert main.main(["logs", "explain", "id1", str(path)]) == 0
@@ -98,6 +98,6 @@
     assert main.main(["logs", "timeline", "--event", "request", str(path)]) == 0
 
 
-def test_lines_of_the_same_moment_are_no_trouble():
+def test_lines_with_equal_timestamps_can_be_sorted():
     line = _line(1.0, "started")
-    assert len(journals.read([line, line]).lines) == 2
+    assert len(log_analysis.parse_logs([line, line]).lines) == 2
--- a/libs/bridgecross-cli/tests/test_main.py
+++ b/libs/bridgecross-cli/tests/test_main.py
@@ -49,7 +49,7 @@
     assert main.main(arguments) == code
 
 
-def test_effective_settings_name_their_level(capsys):
+def test_effective_settings_show_the_level_that_set_them(capsys):
     path = str(SAMPLES / "karatas.jsonc")
     node = "karatas/anadolu/rapor/authority"
     arguments = ["settings", "show", "--file", path, "--effective", node]
--- a/libs/bridgecross-cli/tests/test_operations_page.py
+++ b/libs/bridgecross-cli/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The walks of docs/OPERATIONS.md, on the log that the page names."""
+"""Tests the walkthroughs of docs/OPERATIONS.md on the log that it uses."""
 
 import pathlib
 
@@ -19,7 +19,7 @@
         ("093ef1a7f8ceb12b", "did not hold the key"),
     ],
 )
-def test_each_walk_ends_at_its_cause(request_id, cause, capsys):
+def test_each_walkthrough_finds_its_cause(request_id, cause, capsys):
     assert f"logs explain {request_id}" in PAGE.read_text(encoding="utf-8")
     assert main.main(["logs", "explain", request_id, str(LOG)]) == 0
     assert cause in capsys.readouterr().out
--- a/libs/bridgecross-cli/tests/test_accounts.py
+++ b/libs/bridgecross-cli/tests/test_value_report.py
@@ -3,9 +3,9 @@
 
 import pytest
 
-from bridgecross_cli import _logs
-from bridgecross_cli import accounts
-from bridgecross_cli import journals
+from bridgecross_cli import _log_commands
+from bridgecross_cli import log_analysis
+from bridgecross_cli import value_report
 
 
 def _line(at_s=10.0, instance="entry-1", **fields: object):
@@ -22,25 +22,27 @@
     return json.dumps(known | fields)
 
 
-def test_instances_are_added_up_by_route_and_second():
-    read = journals.read(
+def test_totals_are_summed_by_route_and_second():
+    logs = log_analysis.parse_logs(
         [_line(10.2), _line(10.4, "entry-2"), _line(11.3, first=4)]
     )
-    account = accounts.add_up(read, {"read": accounts.Worth(2.0, 0.5)})
-    row = account.routes["read"]
-    assert row.owed_count == 24
-    assert row.outcomes["in_time"] == 18
-    assert row.earned == 18 * 2.0 + 6 * 0.5
-    assert sorted(account.seconds) == [0, 1]
-    assert account.left_out == []
+    report = value_report.build_report(
+        logs, {"read": value_report.AnswerValue(2.0, 0.5)}
+    )
+    aggregate = report.routes["read"]
+    assert aggregate.caller_count == 24
+    assert aggregate.outcomes["in_time"] == 18
+    assert aggregate.achieved_value == 18 * 2.0 + 6 * 0.5
+    assert sorted(report.seconds) == [0, 1]
+    assert report.skipped == []
 
 
-def test_the_largest_losses_come_first_with_their_causes():
+def test_largest_losses_come_first_with_their_causes():
     bad = {"in_time": 1, "no_owner": 9, "late": 1}
-    read = journals.read([_line(10.0), _line(12.0, outcomes=bad)])
-    first = accounts.add_up(read, {}).list_losses()[0]
+    logs = log_analysis.parse_logs([_line(10.0), _line(12.0, outcomes=bad)])
+    first = value_report.build_report(logs, {}).list_largest_losses()[0]
     assert first.second == 2
-    assert first.lost == 10 - 1 - 0.5
+    assert first.lost_value == 10 - 1 - 0.5
     assert first.causes == (("no_owner", 9), ("late", 1))
 
 
@@ -73,24 +75,24 @@
         ),
     ],
 )
-def test_what_is_left_out_is_said_with_its_place(lines, place, problem):
-    account = accounts.add_up(journals.read(lines), {})
-    (finding,) = account.left_out
+def test_skipped_lines_are_reported_with_their_place(lines, place, problem):
+    report = value_report.build_report(log_analysis.parse_logs(lines), {})
+    (finding,) = report.skipped
     assert finding.place.source == place
     assert problem in finding.problem
-    assert account.routes["read"].owed_count >= 10
+    assert report.routes["read"].caller_count >= 10
 
 
-def test_a_worth_of_a_route_that_is_not_there_is_told():
-    account = accounts.add_up(
-        journals.read([_line()]), {"raed": accounts.Worth()}
+def test_a_value_of_an_unknown_route_is_reported():
+    report = value_report.build_report(
+        log_analysis.parse_logs([_line()]), {"raed": value_report.AnswerValue()}
     )
-    assert "raed" in account.left_out[0].place.source
+    assert "raed" in report.skipped[0].place.source
 
 
 @pytest.mark.parametrize(
     "text", ["read", "read=1", "read=1,2", "=1,0", "a=b,c"]
 )
-def test_a_malformed_worth_is_refused(text):
+def test_a_malformed_answer_value_is_rejected(text):
     with pytest.raises(argparse.ArgumentTypeError, match=text):
-        _logs.read_worth(text)
+        _log_commands.parse_answer_value(text)
--- a/libs/bridgecross-standins/src/bridgecross_standins/house_tools.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/house_tools.py
@@ -5,8 +5,8 @@
 import anyio
 import anyio.to_thread
 
+from bridgecross_cli import cluster_client
 from bridgecross_cli import publishing
-from bridgecross_cli import reach
 from bridgecross_core import ids
 from bridgecross_daemon import peer_protocol
 from bridgecross_ownership import cell as cells
@@ -26,7 +26,7 @@
 def read_connection(house: processes.House) -> process.ProcessSettings:
     """Returns where a house's log and instance list are."""
     entry = next(iter(house.entries.values()))
-    return reach.read_connection(entry.settings_path)
+    return cluster_client.read_connection(entry.settings_path)
 
 
 async def bring_up(house: processes.House) -> ids.Offset:
@@ -51,7 +51,9 @@
 ) -> cells.Cell:
     """Returns the owners of a service's slices, folded from the log."""
     connection = read_connection(house)
-    async with reach.follow_control(connection, house.shape.place) as reader:
+    async with cluster_client.follow_control(
+        connection, house.shape.place
+    ) as reader:
         return reader.state.find_cell(service)
 
 
@@ -60,8 +62,8 @@
 ) -> dict[ids.InstanceId, peer_protocol.InstanceStatus]:
     """Returns how the instances that answer are."""
     connection = read_connection(house)
-    answers = await reach.call_instances(
-        await reach.list_instances(connection),
+    answers = await cluster_client.call_instances(
+        await cluster_client.list_instances(connection),
         peer_protocol.STATUS,
         peer_protocol.StatusRequest(),
     )
@@ -70,22 +72,22 @@
 
 async def read_timeline(house: processes.House) -> list[events.Event]:
     """Returns the events of all instances that answer, in causal order."""
-    gathered = await reach.gather_timeline(read_connection(house))
+    gathered = await cluster_client.gather_timeline(read_connection(house))
     return gathered.events
 
 
 async def _publish(house: processes.House) -> ids.Offset:
     """Publishes the house's settings once the log answers."""
     give_up_s = time.monotonic() + _PUBLISH_TIMEOUT_S
-    wanted = publishing.Publication(
+    request = publishing.PublishRequest(
         house.settings, ids.NO_OFFSET, "house tools", "first settings"
     )
     while time.monotonic() < give_up_s:
         try:
             outcome = await publishing.publish(
-                read_connection(house), house.shape.place, wanted
+                read_connection(house), house.shape.place, request
             )
-        except reach.ReachError:
+        except cluster_client.UnreachableError:
             continue
         if isinstance(outcome, publishing.Published):
             return outcome.version
