--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Shared by all tests of the workspace, and the list of known failures."""
+"""Pytest hooks and fixtures for all tests, and the list of known failures."""
 
 from collections.abc import Generator
 from collections.abc import Iterable
@@ -7,43 +7,46 @@
 import shutil
 from typing import NamedTuple
 
-# It asks the standard library's module platform for the interpreter; once a
-# test in the folder platform is loaded, the folder has that name.
+# Imported before any test: hypothesis uses the standard library's module
+# ``platform`` to identify the interpreter. Once a test in the folder
+# ``platform`` is loaded, the folder shadows that module.
 import hypothesis  # noqa: F401
 import pytest
 
 KNOWN_RED = pathlib.Path(__file__).with_name("KNOWN-RED.txt")
-"""Tests that fail for a fault that is not mended yet."""
+"""The list of tests that fail because of a fault that is not fixed yet."""
 
 KNOWN_RED_MAX_COUNT = 3
-"""Lines that the list may have."""
+"""The maximum number of lines of the list."""
 
 _SEEN_ONCE = "SEEN ONCE:"
-"""Begins the cause of a test that failed once and is not traced yet.
+"""The prefix of the cause of a test that failed once, for an unknown reason.
 
-It runs and must pass like any other; it is listed and printed until traced.
+The test must still pass like any other. It is listed and printed until the
+reason is known.
 """
 
 
-KEPT_LOGS = pathlib.Path(__file__).with_name("out") / "failed"
-"""Where the logs of processes are kept when a test with them fails."""
+FAILED_LOGS_FOLDER = pathlib.Path(__file__).with_name("out") / "failed"
+"""The folder for copies of the logs of processes whose test failed."""
 
 _LOG_PATTERNS = ("log", "*.log", "*.journal")
 _TAIL_LINES_COUNT = 40
-"""Lines of each log that are printed, for runs whose files are lost."""
+"""The number of lines that are printed from the end of each log, because the
+files of some runs are lost."""
 
 
 class KnownFailure(NamedTuple):
     """One line of the list: ``TEST | CAUSE | ISSUE``."""
 
-    # As pytest names it, with its file.
+    # The node id of the test.
     test: str
     cause: str
     issue: str
 
 
-def read_known_red(text: str) -> dict[str, KnownFailure]:
-    """Returns the known failures by the name of their test.
+def parse_known_failures(text: str) -> dict[str, KnownFailure]:
+    """Returns the known failures by the node id of their test.
 
     Raises:
         pytest.UsageError: A line is malformed, or there are too many.
@@ -66,19 +69,20 @@
     return known
 
 
-def _load() -> dict[str, KnownFailure]:
-    """Returns the known failures; none if there is no list."""
+def _load_known_failures() -> dict[str, KnownFailure]:
+    """Returns the known failures, or none if the list does not exist."""
     if not KNOWN_RED.exists():
         return {}
-    return read_known_red(KNOWN_RED.read_text(encoding="utf-8"))
+    return parse_known_failures(KNOWN_RED.read_text(encoding="utf-8"))
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Passes over known failures, but not over one that has been mended.
+    """Marks known failures as expected failures.
 
-    Nor over one that was seen once only.
+    A listed test that passes is an error, so that fixed tests are removed from
+    the list. Tests that failed only once are not marked.
     """
-    known = _load()
+    known = _load_known_failures()
     for item in items:
         failure = known.get(item.nodeid)
         if failure is not None and not failure.cause.startswith(_SEEN_ONCE):
@@ -87,39 +91,40 @@
             )
 
 
-def keep_logs(
+def copy_logs(
     name: str, folders: Iterable[pathlib.Path], into: pathlib.Path
 ) -> str:
-    """Copies the logs of a failed test, so that it can be explained.
+    """Copies the logs of a failed test, so that the failure can be analysed.
 
     Args:
-        name: The test.
-        folders: Where its processes wrote.
-        into: Where logs are kept; those of an earlier failure are replaced.
+        name: The node id of the test.
+        folders: The folders to which the processes of the test wrote.
+        into: The folder for the copies; those of an earlier failure of the
+            test are replaced.
 
     Returns:
-        Where they are and the end of each; empty if there are none.
+        The location of the copies and the end of each; empty without logs.
     """
-    kept = into / re.sub(r"[^A-Za-z0-9.-]+", "-", name)
-    shutil.rmtree(kept, ignore_errors=True)
+    destination = into / re.sub(r"[^A-Za-z0-9.-]+", "-", name)
+    shutil.rmtree(destination, ignore_errors=True)
     lines: list[str] = []
     for number, folder in enumerate(folders, 1):
         for pattern in _LOG_PATTERNS:
             for log in sorted(folder.rglob(pattern)):
-                kept.mkdir(parents=True, exist_ok=True)
-                copy = kept / f"{number}-{log.name}"
+                destination.mkdir(parents=True, exist_ok=True)
+                copy = destination / f"{number}-{log.name}"
                 shutil.copy(log, copy)
                 text = copy.read_text(encoding="utf-8", errors="replace")
                 tail = text.splitlines()[-_TAIL_LINES_COUNT:]
                 lines += [f"{copy.name}:", *tail]
-    return "\n".join([f"kept in {kept}", *lines]) if lines else ""
+    return "\n".join([f"kept in {destination}", *lines]) if lines else ""
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(
     item: pytest.Item,
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Keeps the logs of the processes of a failed test."""
+    """Copies the logs of a failed test and adds their ends to the report."""
     report = yield
     if report.failed:
         values = getattr(item, "funcargs", {}).values()
@@ -129,17 +134,17 @@
             for folder in (value, *getattr(value, "log_folders", ()))
             if isinstance(folder, pathlib.Path) and folder.is_dir()
         ]
-        kept = keep_logs(item.nodeid, folders, KEPT_LOGS)
-        if kept:
-            report.sections.append(("logs of its processes", kept))
+        excerpts = copy_logs(item.nodeid, folders, FAILED_LOGS_FOLDER)
+        if excerpts:
+            report.sections.append(("logs of its processes", excerpts))
     return report
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Prints the list, so that nobody takes it for green."""
-    for failure in _load().values():
+    """Prints the known failures, so that they are not overlooked."""
+    for failure in _load_known_failures().values():
         terminalreporter.write_line("KNOWN RED: " + " | ".join(failure))
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -20,7 +20,7 @@
 
 
 def test_a_line_names_test_cause_and_issue():
-    known = conftest.read_known_red(LINE + "\n\n")
+    known = conftest.parse_known_failures(LINE + "\n\n")
     assert known == {
         "a/test_b.py::test_c": conftest.KnownFailure(
             "a/test_b.py::test_c", "cause", "issue 1"
@@ -38,7 +38,7 @@
 )
 def test_a_list_that_is_malformed_or_too_long_is_refused(text):
     with pytest.raises(pytest.UsageError):
-        conftest.read_known_red(text)
+        conftest.parse_known_failures(text)
 
 
 class Item:
@@ -53,8 +53,8 @@
 
 def _mark(monkeypatch, line: str) -> list[pytest.MarkDecorator]:
     """Returns what the listed test is marked with."""
-    known = conftest.read_known_red(line)
-    monkeypatch.setattr(conftest, "_load", lambda: known)
+    known = conftest.parse_known_failures(line)
+    monkeypatch.setattr(conftest, "_load_known_failures", lambda: known)
     item = Item()
     conftest.pytest_collection_modifyitems([item])
     return item.markers
@@ -78,7 +78,7 @@
     (folder / "a.journal").write_text("run\n")
     (folder / "settings.json").write_text("{}")
     into = tmp_path / "kept"
-    told = conftest.keep_logs("a/b.py::test[x]", [tmp_path / "house"], into)
+    told = conftest.copy_logs("a/b.py::test[x]", [tmp_path / "house"], into)
     names = {path.name for path in into.rglob("*.*") if path.is_file()}
     assert names == {"1-entry-1.log", "1-a.journal"}
     assert "\n98\n" in told
@@ -86,5 +86,5 @@
 
 
 def test_a_test_without_logs_keeps_nothing(tmp_path):
-    assert not conftest.keep_logs("a", [tmp_path], tmp_path / "kept")
+    assert not conftest.copy_logs("a", [tmp_path], tmp_path / "kept")
     assert not (tmp_path / "kept").exists()
