--- a/libs/bridgecross-daemon/src/bridgecross_daemon/__init__.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/__init__.py
@@ -1,12 +1,12 @@
 """bridgecrossd, the entry instance.
 
 * ``main``: the command line of the daemon.
-* ``serving``: an instance behind its HTTP and gRPC servers.
-* ``instance``: puts the parts of an entry instance together.
-* ``ports``: what an instance reaches the outside world through.
-* ``control``: the state that the log's control stream puts in force.
-* ``peer_protocol``: what instances and tools say to an instance, over gRPC.
-* ``peer_client`` and ``peer_server``: the two ends of that.
+* ``serving``: runs an instance with its HTTP and gRPC servers.
+* ``instance``: assembles and runs the components of an entry instance.
+* ``ports``: the interfaces between an instance and its environment.
+* ``control``: the state that is built from the log's control stream.
+* ``peer_protocol``: the gRPC methods and messages of instances.
+* ``peer_client`` and ``peer_server``: the two sides of that protocol.
 """
 
 __all__ = [
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_component_settings.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_component_settings.py
@@ -1,4 +1,4 @@
-"""The settings of each part, taken from the settings of a service."""
+"""Derives the settings of each component from the settings of a service."""
 
 from bridgecross_ownership import coordinator as coordinators
 from bridgecross_ownership import lease_manager
@@ -13,7 +13,7 @@
 def lease_manager_settings(
     policy: policies.Policy,
 ) -> lease_manager.LeaseManagerSettings:
-    """Returns the settings of the service's keepers."""
+    """Returns the settings of the service's lease managers."""
     return lease_manager.LeaseManagerSettings(
         checks_fences=policy.checks_fences,
         lease_ms=policy.lease_ms,
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -1,4 +1,4 @@
-"""All parts of one service on this instance."""
+"""The components of one service on this instance."""
 
 from collections.abc import Callable
 import random
@@ -32,11 +32,11 @@
 from bridgecross_settings import tree
 from bridgecross_timeline import ring as rings
 
-_CATCH_UP_S = 0.5
+_CATCH_UP_TIMEOUT_S = 0.5
 
 
 class SharedParts(NamedTuple):
-    """What all services of an instance share."""
+    """The dependencies that all services of an instance share."""
 
     me: ids.InstanceId
     clock: clocks.Clock
@@ -56,16 +56,16 @@
 
 
 class ServiceParts:
-    """Coordinator, fronts, runner and router of one service."""
+    """The coordinator, fronts, runner and router of one service."""
 
     def __init__(
         self, service: tree.Service, cell: cells.Cell, shared: SharedParts
     ) -> None:
-        """Puts the parts together; ``run`` brings them to life."""
+        """Creates the components; ``run`` starts them."""
         self.cell = cell
         self.service = service
         self.changed = notifier.Notifier()
-        self.book = reports.ReportRegistry(shared.clock)
+        self.report_registry = reports.ReportRegistry(shared.clock)
         self._shared = shared
         self._forwarder = peer_client.PeerForwarder(
             shared.peer_client, shared.addresses, cell, shared.clock
@@ -90,7 +90,7 @@
         )
 
     def replace_settings(self, service: tree.Service) -> None:
-        """Puts new settings into force in all parts."""
+        """Replaces the settings of all components."""
         self.service = service
         policy = service.policy
         self.fronts.replace_settings(
@@ -108,12 +108,12 @@
         )
 
     def notify(self) -> None:
-        """Tells that the cell may have changed."""
+        """Wakes waiting tasks after a possible change of the cell."""
         self.fronts.notify()
         self.changed.notify()
 
     async def run(self) -> None:
-        """Coordinates and fronts until it is cancelled."""
+        """Runs the coordinator and the fronts until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.coordinator.run)
             tasks.start_soon(self.fronts.run)
@@ -121,35 +121,35 @@
     async def run_forwarded(
         self, wire: requests.WireRequest
     ) -> peer_protocol.WireOutcome:
-        """Runs a request that another instance has forwarded."""
+        """Runs a request that another instance forwarded."""
         await self.changed.wait_until(
-            lambda: self.cell.head >= wire.head, _CATCH_UP_S
+            lambda: self.cell.head >= wire.head, _CATCH_UP_TIMEOUT_S
         )
         now_s = self._shared.clock.monotonic_s()
         request = requests.from_wire(wire, now_s)
         return peer_protocol.outcome_to_wire(await self.runner.run(request))
 
-    async def run_inherited(
-        self, wire: requests.WireRequest, bequest: releases.Takeover
+    async def run_takeover(
+        self, wire: requests.WireRequest, takeover: releases.Takeover
     ) -> peer_protocol.WireOutcome:
-        """Runs a request at the heir of the key's owner."""
+        """Runs a request at the backup of the key's lost owner."""
         await self.changed.wait_until(
-            lambda: self.cell.head >= wire.head, _CATCH_UP_S
+            lambda: self.cell.head >= wire.head, _CATCH_UP_TIMEOUT_S
         )
         request = requests.from_wire(wire, self._shared.clock.monotonic_s())
-        outcome = await self.runner.run_takeover(request, bequest)
+        outcome = await self.runner.run_takeover(request, takeover)
         return peer_protocol.outcome_to_wire(outcome)
 
     def build_report(self) -> reports.ServiceReport:
         """Returns what this instance reports to the coordinator."""
-        kept = list(self.fronts.managers.values())
+        managers = list(self.fronts.managers.values())
         loads = []
-        for keeper in kept:
+        for manager in managers:
             loads += [
                 reports.SliceLoad(index, count)
-                for index, count in keeper.load.items()
+                for index, count in manager.load.items()
             ]
-            keeper.load.clear()
+            manager.load.clear()
         return reports.ServiceReport(
             service=self.cell.service,
             servers=[
@@ -158,15 +158,17 @@
                     k.health,
                     k.front.token if k.is_front_accepted() else ids.NO_TOKEN,
                 )
-                for k in kept
+                for k in managers
+            ],
+            settled=[grant for k in managers for grant in k.list_settled()],
+            handed_over=[
+                grant for k in managers for grant in k.list_handed_over()
             ],
-            settled=[grant for k in kept for grant in k.list_settled()],
-            handed_over=[grant for k in kept for grant in k.list_handed_over()],
             loads=loads,
         )
 
     def describe(self) -> peer_protocol.ServiceStatus:
-        """Returns how this instance sees the service."""
+        """Returns the state of the service as known to this instance."""
         queues = self.runner.queues
         served: dict[str, int] = {}
         for queue in queues.values():
@@ -180,14 +182,14 @@
             slice_count=len(self.cell.slices),
             servers=[
                 peer_protocol.ServerStatus(
-                    server=keeper.server,
-                    health=keeper.health.value,
-                    busy=queues[keeper.server].busy
-                    if keeper.server in queues
+                    server=manager.server,
+                    health=manager.health.value,
+                    busy=queues[manager.server].busy
+                    if manager.server in queues
                     else 0,
-                    slices=self.cell.count_slices_of(keeper.server),
+                    slices=self.cell.count_slices_of(manager.server),
                 )
-                for keeper in self.fronts.managers.values()
+                for manager in self.fronts.managers.values()
             ],
             waiting=dict(self.runner.waiting),
             served=served,
@@ -198,7 +200,7 @@
         await self.backend.aclose()
 
     def _lease_manager_ports(self) -> lease_manager.LeaseManagerPorts:
-        """Returns what the keepers work with."""
+        """Returns the dependencies of the lease managers."""
         shared = self._shared
         return lease_manager.LeaseManagerPorts(
             me=shared.me,
@@ -218,7 +220,7 @@
         )
 
     def _coordinator_ports(self) -> coordinators.CoordinatorPorts:
-        """Returns what the coordinator works with."""
+        """Returns the dependencies of the coordinator."""
         shared = self._shared
         return coordinators.CoordinatorPorts(
             me=shared.me,
@@ -226,14 +228,14 @@
             appender=shared.control,
             authority=shared.authority,
             membership=shared.membership,
-            registry=self.book,
+            registry=self.report_registry,
             peers=shared.peers,
             clock=shared.clock,
             ring=shared.ring,
         )
 
     def _runner_ports(self) -> runners.RunnerPorts:
-        """Returns what the runner works with."""
+        """Returns the dependencies of the runner."""
         shared = self._shared
         return runners.RunnerPorts(
             cell=self.cell,
@@ -249,7 +251,7 @@
         )
 
     def _router_ports(self) -> routing.RouterPorts:
-        """Returns what the router works with."""
+        """Returns the dependencies of the router."""
         shared = self._shared
         return routing.RouterPorts(
             me=shared.me,
@@ -264,7 +266,7 @@
 
 
 class _ReleaseSource:
-    """Asks this instance's own keepers directly, and peers over gRPC."""
+    """Asks this instance's fronts directly, and other instances over gRPC."""
 
     def __init__(
         self,
@@ -279,7 +281,7 @@
     async def await_release(
         self, front: ids.InstanceId, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Asks a front; see ``releases.ReleaseSource``."""
+        """Asks a front what was released; see ``releases.ReleaseSource``."""
         if front == self._me:
             return await self._parts.fronts.answer_release(query)
         return await self._peers.await_release(front, query)
@@ -287,7 +289,7 @@
     async def is_front_drained(
         self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
-        """Asks an earlier front; see ``releases.ReleaseSource``."""
+        """Asks an earlier front to confirm; see ``releases.ReleaseSource``."""
         if front == self._me:
             reply = await self._parts.fronts.answer_front_drained(query)
             return reply.is_drained
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an entry instance together and runs them."""
+"""Assembles the components of an entry instance and runs them."""
 
 import anyio
 import anyio.abc
@@ -36,33 +36,33 @@
 _GRPC_GRACE_S = 1.0
 _CONTROL_WAIT_MS = 400
 _INTENT_WAIT_MS = 10_000
-_PEER_START_S = 0.5
+_PEER_BOOTSTRAP_INTERVAL_S = 0.5
 _NO_REASONS: list[str] = []
 
 
 def name_control_stream(house: str, place: str) -> str:
-    """Returns the stream of a place's settings and ownership."""
+    """Returns the name of the stream of a place's settings and ownership."""
     return f"control-{house}-{place}"
 
 
 def name_intent_stream(house: str, place: str) -> str:
-    """Returns the stream of a place's requests that may not run twice."""
+    """Returns the name of the stream of non-repeatable requests of a place."""
     return f"intents-{house}-{place}"
 
 
 class Instance:
-    """One entry instance: all of them are alike."""
+    """An entry instance; all instances have the same functions."""
 
     def __init__(
         self,
         settings: process.ProcessSettings,
         outside: ports.InstancePorts,
     ) -> None:
-        """Builds the parts; ``run`` brings them to life.
+        """Creates the components; ``run`` starts them.
 
         Args:
-            settings: What the process was told when it started.
-            outside: What the instance reaches the outside world through.
+            settings: The settings of the process.
+            outside: The interfaces to the environment.
         """
         self._settings = settings
         self._outside = outside
@@ -75,25 +75,25 @@
         )
         self._log = outside.log
         self.control = control.ControlState(self._ring)
-        self._control_follower = self._follow(
+        self._control_follower = self._create_follower(
             name_control_stream(settings.house, settings.place),
             self.control,
             wait_ms=_CONTROL_WAIT_MS,
         )
-        self._control_appender = self._append_to(
+        self._control_appender = self._create_appender(
             name_control_stream(settings.house, settings.place)
         )
         self.control.attach(self._control_appender, self._control_follower)
-        self.control.on_change = self._take_change
+        self.control.on_change = self._apply_change
         self._intents = intents.IntentRegistry(intents.IntentRegistrySettings())
-        # Nobody's authority hangs on this stream, so the log may hold back
-        # its answer for long while there is nothing new.
-        self._intent_follower = self._follow(
+        # No authority depends on reading this stream in time, so the log may
+        # delay its answer for long while there are no new records.
+        self._intent_follower = self._create_follower(
             name_intent_stream(settings.house, settings.place),
             self._intents,
             wait_ms=_INTENT_WAIT_MS,
         )
-        self._intent_appender = self._append_to(
+        self._intent_appender = self._create_appender(
             name_intent_stream(settings.house, settings.place)
         )
         self._intents.attach(self._intent_appender)
@@ -104,10 +104,10 @@
         )
         self._membership = memberships.Membership()
         self._addresses = _platform.Addresses(self._membership)
-        self._list_reader = _platform.ListReader(
+        self._instance_list_reader = _platform.ListReader(
             outside.listing, settings.list_interval_ms, self._membership
         )
-        self._watcher = _heartbeats.PeerWatcher(
+        self._peer_watcher = _heartbeats.PeerWatcher(
             self._me, self._membership, self._clock
         )
         self._peer_client = outside.peers
@@ -129,14 +129,14 @@
             self._addresses,
             self._clock,
         )
-        self._leases = outside.make_leases(self._addresses)
+        self._lease_transport = outside.make_leases(self._addresses)
         self._heartbeats = _heartbeats.HeartbeatSender(
             _heartbeats.HeartbeatSettings(
                 policies.Policy().heartbeat_interval_ms
             ),
             self._peer_client,
             self._addresses,
-            self._watcher,
+            self._peer_watcher,
             self._make_heartbeats,
         )
         self._snapshots = _snapshots.SnapshotWriter(
@@ -159,24 +159,24 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended."""
+        """Runs until a graceful stop is complete."""
         loguru.logger.info(
-            "{} serves {}/{}",
+            "{} started for {}/{}",
             self._me,
             self._settings.house,
             self._settings.place,
         )
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            self._take_change()
+            self._apply_change()
             tasks.start_soon(self._control_follower.run)
             tasks.start_soon(self._intent_follower.run)
-            tasks.start_soon(self._list_reader.run)
+            tasks.start_soon(self._instance_list_reader.run)
             tasks.start_soon(self._heartbeats.run)
-            tasks.start_soon(self._take_snapshots)
+            tasks.start_soon(self._append_snapshots)
             tasks.start_soon(self._peer_log_reader.run)
             tasks.start_soon(self._poison_broadcaster.run)
-            tasks.start_soon(self._start_from_peers)
+            tasks.start_soon(self._bootstrap_from_peers)
             await self._stopping.wait()
             await self._drain()
             self._drained.set()
@@ -187,7 +187,7 @@
         loguru.logger.info("{} has stopped", self._me)
 
     def stop(self) -> None:
-        """Begins a planned stop."""
+        """Starts a graceful stop."""
         self._stopping.set()
 
     def now_s(self) -> float:
@@ -195,25 +195,25 @@
         return self._clock.monotonic_s()
 
     async def wait_drained(self) -> None:
-        """Waits until a planned stop has let all requests end."""
+        """Waits until a graceful stop has ended its drain."""
         await self._drained.wait()
 
     def close(self) -> None:
-        """Ends ``run``, after the servers in front of it have stopped."""
+        """Ends ``run`` once the servers that call this instance stopped."""
         self._closing.set()
 
     def drain_limit_s(self) -> float:
-        """Returns how long a planned stop may take."""
-        policy = self._place_policy()
+        """Returns how long the drain of a graceful stop may take."""
+        policy = self._find_policy()
         return (policy.drain_notice_ms + policy.drain_ms) / 1_000
 
-    # What the callers' application needs.
+    # The ``CallerBackend`` interface; see ``_caller_api``.
 
     def list_not_ready(self) -> list[str]:
-        """Returns why the instance takes no requests; empty if it does."""
+        """Returns why the instance accepts no requests; empty if it does."""
         if self._applied_version != ids.NO_OFFSET and self._services:
             return _NO_REASONS
-        return self._list_missing()
+        return self._list_obstacles()
 
     def find_house(self) -> tree.House | None:
         """Returns the settings in force."""
@@ -225,7 +225,7 @@
         return house.places.get(self._settings.place) if house else None
 
     async def handle(self, request: requests.Request) -> outcomes.Outcome:
-        """Takes a request to the owner of its key."""
+        """Routes a request to the owner of its key."""
         outcome = await self._services[request.service].router.handle(request)
         if not isinstance(outcome, outcomes.Answered):
             self._failed_requests.record(request, outcome)
@@ -247,9 +247,9 @@
 
     def is_leaving(self) -> bool:
         """Returns whether the instance is stopping."""
-        return self._watcher.self_leaving
+        return self._peer_watcher.self_leaving
 
-    # What peers and the command-line tool ask for; see ``peer_server``.
+    # The ``PeerService`` interface; see ``peer_server``.
 
     async def forward(
         self, request: requests.WireRequest
@@ -273,7 +273,7 @@
             return self._describe_unknown_service()
         self._in_flight += 1
         try:
-            return await parts.run_inherited(request.request, request.bequest)
+            return await parts.run_takeover(request.request, request.bequest)
         finally:
             self._in_flight -= 1
 
@@ -281,7 +281,7 @@
         self, request: peer_protocol.Heartbeat
     ) -> peer_protocol.HeartbeatReply:
         """Processes the reports of an instance."""
-        self._watcher.record_contact(request.instance, request.leaving)
+        self._peer_watcher.record_contact(request.instance, request.leaving)
         self._add_reports(request)
         coordinates = [
             service
@@ -289,7 +289,7 @@
             if parts.cell.coordinator == self._me
         ]
         return peer_protocol.HeartbeatReply(
-            leaving=self._watcher.self_leaving,
+            leaving=self._peer_watcher.self_leaving,
             coordinates=coordinates if self._authority.has_log() else [],
         )
 
@@ -367,18 +367,18 @@
         )
 
     def describe(self) -> peer_protocol.InstanceStatus:
-        """Returns how the instance is."""
+        """Returns the status of the instance."""
         age_s = min(self._control_follower.age_s(), 1e9)
-        missing = self._list_missing()
-        if self._watcher.self_leaving:
-            missing.append("the instance is stopping")
+        obstacles = self._list_obstacles()
+        if self._peer_watcher.self_leaving:
+            obstacles.append("the instance is stopping")
         return peer_protocol.InstanceStatus(
             instance=self._me,
             house=self._settings.house,
             place=self._settings.place,
             failure_domain=self._settings.failure_domain,
-            leaving=self._watcher.self_leaving,
-            not_ready=missing,
+            leaving=self._peer_watcher.self_leaving,
+            not_ready=obstacles,
             settings_version=self.control.settings.offset,
             log_offset=self.control.next_offset - 1,
             log_age_ms=int(age_s * 1_000),
@@ -387,7 +387,7 @@
         )
 
     def _describe_unknown_service(self) -> peer_protocol.WireOutcome:
-        """Returns the outcome of a request whose service is not here yet."""
+        """Returns the outcome of a request for a service not yet known here."""
         return peer_protocol.outcome_to_wire(
             outcomes.NotRun(
                 outcomes.NotRunProof.REFUSED_BY_ADMISSION,
@@ -396,23 +396,25 @@
             )
         )
 
-    def _list_missing(self) -> list[str]:
-        """Returns what is missing before requests can be routed."""
-        missing = []
+    def _list_obstacles(self) -> list[str]:
+        """Returns the reasons why requests cannot be routed yet."""
+        obstacles = []
         is_read = self._control_follower.caught_up.is_set()
         if not is_read and self.control.settings.house is None:
-            missing.append("neither the log nor a peer could be read yet")
+            obstacles.append("neither the log nor a peer could be read yet")
         elif self.control.awaits_snapshot:
-            missing.append("older records are gone and no snapshot came yet")
+            obstacles.append("older records are gone and no snapshot came yet")
         house = self.control.settings.house
         if house is None:
-            missing.append("no settings have been published")
+            obstacles.append("no settings have been published")
         elif self._settings.place not in house.places:
-            missing.append(f"the settings have no place {self._settings.place}")
-        return missing
+            obstacles.append(
+                f"the settings have no place {self._settings.place}"
+            )
+        return obstacles
 
-    def _take_change(self) -> None:
-        """Brings the services in line with the newest record."""
+    def _apply_change(self) -> None:
+        """Updates the services after a change of the control state."""
         version = self.control.settings.offset
         if version != self._applied_version and self._tasks is not None:
             self._applied_version = version
@@ -427,10 +429,13 @@
             for witness in state.witnesses
         }
 
-    async def _start_from_peers(self) -> None:
-        """Takes the state over from a peer while the log cannot be read."""
+    async def _bootstrap_from_peers(self) -> None:
+        """Reads the state from peers until there are settings.
+
+        This lets an instance start while the log is unavailable.
+        """
         while True:
-            await anyio.sleep(_PEER_START_S)
+            await anyio.sleep(_PEER_BOOTSTRAP_INTERVAL_S)
             if self._control_follower.caught_up.is_set():
                 return
             instances = set(self._membership.list_instances())
@@ -439,7 +444,7 @@
                 return
 
     def _apply_settings(self) -> None:
-        """Puts new settings into force and starts new services."""
+        """Applies new settings and starts new services."""
         place = self.find_place()
         if place is None or self._tasks is None:
             return
@@ -457,13 +462,13 @@
             parts = _service.ServiceParts(
                 service,
                 self.control.find_cell(service_name),
-                self._shared_parts(),
+                self._build_shared_parts(),
             )
             self._services[service_name] = parts
             self._tasks.start_soon(parts.run)
 
-    def _shared_parts(self) -> _service.SharedParts:
-        """Returns what all services share."""
+    def _build_shared_parts(self) -> _service.SharedParts:
+        """Returns the dependencies that all services share."""
         return _service.SharedParts(
             me=self._me,
             clock=self._clock,
@@ -471,9 +476,9 @@
             authority=self._authority,
             membership=self._membership,
             addresses=self._addresses,
-            peers=self._watcher,
+            peers=self._peer_watcher,
             peer_client=self._peer_client,
-            lease_transport=self._leases,
+            lease_transport=self._lease_transport,
             make_backend=self._outside.make_backend,
             news=self._peer_log_reader,
             control=self._control_appender,
@@ -483,32 +488,36 @@
         )
 
     def _make_heartbeats(self) -> dict[ids.InstanceId, peer_protocol.Heartbeat]:
-        """Returns the heartbeat for each coordinator but this instance."""
+        """Returns the heartbeat for each coordinator.
+
+        If this instance coordinates a service, its own report is added to the
+        service's registry directly.
+        """
         by_coordinator: dict[ids.InstanceId, peer_protocol.Heartbeat] = {}
         for parts in self._services.values():
             coordinator = parts.cell.coordinator
             report = parts.build_report()
             if coordinator == self._me:
-                parts.book.add(self._me, report)
+                parts.report_registry.add(self._me, report)
             elif coordinator != cells.NO_INSTANCE:
                 heartbeat = by_coordinator.setdefault(
                     coordinator,
                     peer_protocol.Heartbeat(
-                        self._me, self._watcher.self_leaving, []
+                        self._me, self._peer_watcher.self_leaving, []
                     ),
                 )
                 heartbeat.reports.append(report)
         return by_coordinator
 
     def _add_reports(self, heartbeat: peer_protocol.Heartbeat) -> None:
-        """Gives each report to the service that it is about."""
+        """Adds each report to the registry of its service."""
         for report in heartbeat.reports:
             parts = self._services.get(report.service)
             if parts is not None:
-                parts.book.add(heartbeat.instance, report)
+                parts.report_registry.add(heartbeat.instance, report)
 
-    async def _take_snapshots(self) -> None:
-        """Appends snapshots while this instance is the one to do so."""
+    async def _append_snapshots(self) -> None:
+        """Appends snapshots while this instance is responsible for them."""
         await self._snapshots.run(self._should_snapshot)
 
     def _should_snapshot(self) -> bool:
@@ -518,44 +527,48 @@
         first = min(self._services)
         return self._services[first].cell.coordinator == self._me
 
-    def _place_policy(self) -> policies.Policy:
-        """Returns what is in effect for this instance's place."""
+    def _find_policy(self) -> policies.Policy:
+        """Returns the policy of this instance's place."""
         place = self.find_place()
         return place.policy if place else policies.Policy()
 
     async def _drain(self) -> None:
-        """Hands the servers over and waits for requests in flight."""
-        self._watcher.self_leaving = True
+        """Waits until servers are handed over and requests have ended."""
+        self._peer_watcher.self_leaving = True
         self._ring.add(events.DrainBegan(self._in_flight))
-        loguru.logger.info("draining {} requests", self._in_flight)
-        policy = self._place_policy()
+        loguru.logger.info("draining, {} requests in flight", self._in_flight)
+        policy = self._find_policy()
         with anyio.move_on_after(self.drain_limit_s()):
             await anyio.sleep(policy.drain_notice_ms / 1_000)
-            while self._in_flight or self._may_hand_over():
+            while self._in_flight or self._has_servers_to_hand_over():
                 await anyio.sleep(_DRAIN_POLL_S)
         self._ring.add(events.DrainEnded(self._in_flight))
-        loguru.logger.info("drained, {} left", self._in_flight)
+        loguru.logger.info(
+            "drain ended, {} requests in flight", self._in_flight
+        )
 
-    def _may_hand_over(self) -> bool:
-        """Returns whether servers are still to be handed to others."""
+    def _has_servers_to_hand_over(self) -> bool:
+        """Returns whether servers remain that another instance can front."""
         others = [
             instance
             for instance, listing in self._membership.list_instances().items()
             if instance != self._me
             and listing.state is memberships.ListedState.LIVE
         ]
-        kept = any(parts.fronts.managers for parts in self._services.values())
-        return kept and bool(others)
+        has_servers = any(
+            parts.fronts.managers for parts in self._services.values()
+        )
+        return has_servers and bool(others)
 
-    def _follow(
+    def _create_follower(
         self, stream: str, handler: followers.RecordHandler, wait_ms: int
     ) -> followers.Follower:
-        """Returns the follower of a stream."""
+        """Creates the follower of a stream."""
         settings = followers.FollowerSettings(stream, wait_ms)
         return followers.Follower(settings, self._log, handler, self._clock)
 
-    def _append_to(self, stream: str) -> appenders.Appender:
-        """Returns the appender to a stream."""
+    def _create_appender(self, stream: str) -> appenders.Appender:
+        """Creates the appender to a stream."""
         settings = appenders.AppenderSettings(stream, self._settings.instance)
         return appenders.Appender(settings, self._log, self._stamps)
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -35,7 +35,7 @@
 
 
 class PeerAddresses(Protocol):
-    """Knows where the instances are."""
+    """Looks up the peer addresses of instances."""
 
     def find_peer_address(self, instance: ids.InstanceId) -> str | None:
         """Returns an instance's peer address, or None if unknown."""
@@ -45,7 +45,7 @@
     """Calls instances by address, with one channel each."""
 
     def __init__(self, clock: hybrid_clock.HybridClock) -> None:
-        """Opens no channel yet."""
+        """Starts without channels."""
         self._clock = clock
         self._channels: dict[str, grpc.aio.Channel] = {}
 
@@ -59,7 +59,7 @@
         """Calls a method of an instance.
 
         Raises:
-            peer_protocol.PeerUnreachableError: There was no usable reply.
+            peer_protocol.PeerUnreachableError: There was no valid reply.
         """
         channel = self._find_channel(address)
         callable_method: Any = channel.unary_unary(method.path)
@@ -75,7 +75,7 @@
             ) from error
         except codec.CodecError as error:
             raise peer_protocol.PeerUnreachableError(
-                f"damaged reply: {error}", never_sent=False
+                f"invalid reply: {error}", never_sent=False
             ) from error
 
     async def aclose(self) -> None:
@@ -84,7 +84,7 @@
             await channel.close()
 
     def _find_channel(self, address: str) -> grpc.aio.Channel:
-        """Returns the channel to an address."""
+        """Returns the channel to an address, creating it on first use."""
         if address not in self._channels:
             self._channels[address] = grpc.aio.insecure_channel(
                 address, options=_CHANNEL_OPTIONS
@@ -102,7 +102,7 @@
         cell: cells.Cell,
         clock: clocks.Clock,
     ) -> None:
-        """Forwards nothing yet."""
+        """Creates a forwarder for the service of the cell."""
         self._client = client
         self._addresses = addresses
         self._cell = cell
@@ -111,7 +111,7 @@
     async def forward(
         self, instance: ids.InstanceId, request: requests.Request
     ) -> outcomes.Outcome:
-        """Has another instance run a request; see ``routing.Forwarder``."""
+        """Forwards a request to a front; see ``routing.Forwarder``."""
         return await self._call(
             instance, request, peer_protocol.FORWARD, lambda wire: wire
         )
@@ -120,9 +120,9 @@
         self,
         instance: ids.InstanceId,
         request: requests.Request,
-        bequest: releases.Takeover,
+        takeover: releases.Takeover,
     ) -> outcomes.Outcome:
-        """Has the heir's front run a request.
+        """Forwards a request to the front of a backup.
 
         See ``runner.BackupForwarder``.
         """
@@ -130,7 +130,7 @@
             instance,
             request,
             peer_protocol.INHERIT,
-            lambda wire: peer_protocol.InheritRequest(wire, bequest),
+            lambda wire: peer_protocol.InheritRequest(wire, takeover),
         )
 
     async def _call(
@@ -160,19 +160,19 @@
 
 
 class PeerReleaseSource:
-    """Asks other instances what their servers have let go of."""
+    """Asks other instances what their servers have released."""
 
     def __init__(
         self, client: ports.PeerCaller, addresses: PeerAddresses
     ) -> None:
-        """Asks nobody yet."""
+        """Initializes the source with a client and the peers' addresses."""
         self._client = client
         self._addresses = addresses
 
     async def await_release(
         self, front: ids.InstanceId, query: releases.ReleaseQuery
     ) -> releases.ReleaseReply:
-        """Asks a front; see ``releases.ReleaseSource``."""
+        """Asks a front what was released; see ``releases.ReleaseSource``."""
         address = self._addresses.find_peer_address(front)
         if address is None:
             return releases.ReleaseReply([])
@@ -186,7 +186,7 @@
     async def is_front_drained(
         self, front: ids.InstanceId, query: releases.FrontDrainedQuery
     ) -> bool:
-        """Asks an earlier front; see ``releases.ReleaseSource``."""
+        """Asks an earlier front to confirm; see ``releases.ReleaseSource``."""
         address = self._addresses.find_peer_address(front)
         if address is None:
             return False
@@ -202,7 +202,7 @@
 def _describe_failure(
     instance: ids.InstanceId, error: peer_protocol.PeerUnreachableError
 ) -> outcomes.Outcome:
-    """Returns the outcome of a request whose front did not answer."""
+    """Returns the outcome of a request whose front did not reply."""
     reason = f"the front {instance} did not answer: {error.reason}"
     if error.never_sent:
         return outcomes.NotRun(
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
@@ -1,7 +1,7 @@
-"""What an instance reaches the outside world through.
+"""The interfaces between an instance and its environment.
 
-The daemon fills these with HTTP and gRPC (``serving``); tests fill them with
-small fakes and run whole instances in one process.
+The daemon implements them with HTTP and gRPC (``serving``). Tests implement
+them with small fakes and run several complete instances in one process.
 """
 
 from collections.abc import Callable
@@ -27,13 +27,13 @@
 
 
 class InstanceListSource(Protocol):
-    """The platform's instance list."""
+    """Reads the platform's instance list."""
 
     async def read(self) -> list[memberships.Listing]:
-        """Returns the list as the platform has it now.
+        """Returns the current list of the platform.
 
         Raises:
-            InstanceListUnavailableError: It did not answer.
+            InstanceListUnavailableError: There was no valid answer.
         """
 
 
@@ -50,7 +50,7 @@
         """Calls a method of an instance.
 
         Raises:
-            peer_protocol.PeerUnreachableError: There was no usable reply.
+            peer_protocol.PeerUnreachableError: There was no valid reply.
         """
 
 
@@ -58,17 +58,17 @@
     """Sends the requests of one service to its backend servers."""
 
     def replace_settings(self, settings: backends.BackendSettings) -> None:
-        """Puts new settings into force."""
+        """Replaces the settings."""
 
     async def aclose(self) -> None:
         """Closes all connections."""
 
 
 class InstancePorts(NamedTuple):
-    """Everything outside an instance.
+    """The dependencies of an instance on its environment.
 
-    The two factories are called once for the instance and once for each
-    service.
+    ``make_leases`` is called once for the instance, and ``make_backend`` once
+    for each service.
     """
 
     clock: clocks.Clock
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
@@ -1,4 +1,4 @@
-"""Runs an instance behind HTTP and gRPC servers, as the daemon does."""
+"""Runs an instance with its HTTP and gRPC servers, as the daemon does."""
 
 from typing import Any
 
@@ -21,14 +21,14 @@
 from bridgecross_settings import process
 
 _GRPC_GRACE_S = 1.0
-_KEEP_ALIVE_REQUESTS = 1_000_000
+_KEEP_ALIVE_MAX_REQUESTS = 1_000_000
 
 
 class Daemon:
-    """An instance with its servers and its connections to the outside."""
+    """An instance with its servers and its outgoing connections."""
 
     def __init__(self, settings: process.ProcessSettings) -> None:
-        """Opens nothing yet."""
+        """Creates the instance; no connection is opened before ``run``."""
         self._settings = settings
         self._clock = clocks.SystemClock()
         self._stamps = hybrid_clock.HybridClock(self._clock)
@@ -37,17 +37,17 @@
         )
         self._listing = _platform.HttpInstanceList(settings.instance_list_url)
         self._peers = peer_client.PeerClient(self._stamps)
-        self._leases: _platform.HttpLeaseTransport | None = None
+        self._lease_transport: _platform.HttpLeaseTransport | None = None
         self._metrics = _metrics.Metrics()
-        self._instance = instance.Instance(settings, self._open_ports())
+        self._instance = instance.Instance(settings, self._create_ports())
         self._stop_servers = anyio.Event()
 
     def stop(self) -> None:
-        """Begins a planned stop."""
+        """Starts a graceful stop."""
         self._instance.stop()
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended.
+        """Runs until a graceful stop is complete.
 
         Raises:
             OSError: An HTTP address cannot be bound.
@@ -77,12 +77,12 @@
             self._instance.close()
         await self._aclose()
 
-    def _open_ports(self) -> ports.InstancePorts:
-        """Returns what the instance reaches the outside world through."""
+    def _create_ports(self) -> ports.InstancePorts:
+        """Returns the instance's interfaces to its environment."""
 
         def make_leases(addresses: Any) -> _platform.HttpLeaseTransport:
-            self._leases = _platform.HttpLeaseTransport(addresses)
-            return self._leases
+            self._lease_transport = _platform.HttpLeaseTransport(addresses)
+            return self._lease_transport
 
         def make_backend(
             settings: backends.BackendSettings,
@@ -100,21 +100,21 @@
         )
 
     async def _serve(self, address: str, app: Any) -> None:
-        """Serves HTTP until the servers are told to stop."""
+        """Serves an application over HTTP until the servers are stopped."""
         config = hypercorn.config.Config()
         config.bind = [address]
         config.accesslog = None
         config.errorlog = None
         config.graceful_timeout = self._instance.drain_limit_s()
-        config.keep_alive_max_requests = _KEEP_ALIVE_REQUESTS
+        config.keep_alive_max_requests = _KEEP_ALIVE_MAX_REQUESTS
         await hypercorn.asyncio.serve(
             app, config, shutdown_trigger=self._stop_servers.wait
         )
 
     async def _aclose(self) -> None:
-        """Closes all connections."""
+        """Closes all outgoing connections."""
         await self._log.aclose()
         await self._listing.aclose()
         await self._peers.aclose()
-        if self._leases is not None:
-            await self._leases.aclose()
+        if self._lease_transport is not None:
+            await self._lease_transport.aclose()
