--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_admin_api.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_admin_api.py
@@ -12,16 +12,16 @@
 
 
 class AdminBackend(Protocol):
-    """What the application needs of the instance."""
+    """The part of an instance that the application uses."""
 
     def describe(self) -> peer_protocol.InstanceStatus:
-        """Returns how the instance is."""
+        """Returns the status of the instance."""
 
 
 def build_admin_app(
     backend: AdminBackend, metrics: _metrics.Metrics
 ) -> applications.Starlette:
-    """Returns the application with liveness, readiness and metrics."""
+    """Returns the application that serves health checks and metrics."""
 
     async def live(request: requests.Request) -> responses.Response:
         return responses.PlainTextResponse("live\n")
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_caller_api.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_caller_api.py
@@ -1,7 +1,8 @@
 """The HTTP interface for callers, as an ASGI application.
 
-``/v1/{service}/{key}`` and anything below it goes to the server that owns the
-key. ``docs/caller-api.md`` describes headers, statuses and problem bodies.
+Requests for ``/v1/{service}/{key}`` and any path below it are routed to the
+server that owns the key. ``docs/caller-api.md`` describes headers, statuses
+and problem bodies.
 """
 
 from collections.abc import Awaitable
@@ -37,7 +38,7 @@
 
 
 class Problem(NamedTuple):
-    """A refusal before any attempt, as the caller is told."""
+    """A refusal or an unknown outcome, as reported to the caller."""
 
     status: int
     title: str
@@ -46,10 +47,10 @@
 
 
 class _RefusedError(Exception):
-    """A request cannot be taken."""
+    """A request cannot be accepted; no attempt was made."""
 
     def __init__(self, problem: Problem) -> None:
-        """Keeps what the caller is told."""
+        """Initializes the error with the problem to report."""
         self.problem = problem
         super().__init__(problem.detail)
 
@@ -62,7 +63,7 @@
 
 
 class _ProblemBody(NamedTuple):
-    """A problem-details body (RFC 9457) with what is known of the outcome."""
+    """A problem-details body (RFC 9457), extended by the outcome."""
 
     type: str
     title: str
@@ -73,10 +74,10 @@
 
 
 class CallerBackend(Protocol):
-    """What the application needs of the instance."""
+    """The part of an instance that the application uses."""
 
     def list_not_ready(self) -> list[str]:
-        """Returns why the instance takes no requests; empty if it does."""
+        """Returns why the instance accepts no requests; empty if it does."""
 
     def find_house(self) -> tree.House | None:
         """Returns the settings in force."""
@@ -85,7 +86,7 @@
         """Returns this instance's place in the settings in force."""
 
     async def handle(self, request: requests.Request) -> outcomes.Outcome:
-        """Takes a request to the owner of its key."""
+        """Routes a request to the owner of its key."""
 
     def begin_request(self) -> None:
         """Counts a request as in flight."""
@@ -98,7 +99,7 @@
 
 
 class _Target(NamedTuple):
-    """The service and the key that a path names."""
+    """The service and the key in a request's path."""
 
     service: str
     key: str
@@ -113,7 +114,13 @@
         metrics: _metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        """Serves nothing yet."""
+        """Initializes the application.
+
+        Args:
+            backend: The instance that handles the requests.
+            metrics: Counts the requests.
+            clock: The clock for deadlines and durations.
+        """
         self._backend = backend
         self._metrics = metrics
         self._clock = clock
@@ -123,7 +130,7 @@
     ) -> None:
         """Answers one HTTP request; other protocols are not served."""
         if scope["type"] == "lifespan":
-            await _answer_lifespan(receive, send)
+            await _handle_lifespan(receive, send)
             return
         if scope["type"] != "http":
             return
@@ -136,35 +143,37 @@
     async def _serve(
         self, scope: Message, receive: Receive, send: Send
     ) -> None:
-        """Builds the request, has it run, and answers."""
+        """Parses the request, has it handled, and sends the response."""
         started_s = self._clock.monotonic_s()
         request_id = secrets.token_urlsafe(_REQUEST_ID_BYTES)
         closing = self._backend.is_leaving()
         try:
-            built = await self._build(scope, receive, request_id, started_s)
+            request = await self._parse_request(
+                scope, receive, request_id, started_s
+            )
         except _RefusedError as refused:
             await _send_problem(send, refused.problem, request_id, closing)
             return
-        outcome = await self._backend.handle(built)
+        outcome = await self._backend.handle(request)
         duration_s = self._clock.monotonic_s() - started_s
         self._metrics.count_request(
-            built.service, built.tier, outcome, duration_s
+            request.service, request.tier, outcome, duration_s
         )
         await _send_outcome(send, outcome, request_id, closing)
 
-    async def _build(
+    async def _parse_request(
         self,
         scope: Message,
         receive: Receive,
         request_id: str,
         started_s: float,
     ) -> requests.Request:
-        """Returns the request.
+        """Authenticates the caller and returns the parsed request.
 
         Raises:
-            _RefusedError: The request cannot be taken.
+            _RefusedError: The request cannot be accepted.
         """
-        house, place = self._find_settings()
+        house, place = self._require_settings()
         target = _split_path(scope["path"])
         if target is None or target.service not in place.services:
             known = ", ".join(sorted(place.services))
@@ -172,7 +181,7 @@
             raise _RefusedError(Problem(404, "No such service", detail))
         service = place.services[target.service]
         headers = dict(scope["headers"])
-        admission = _find_caller(house, place, service, headers)
+        admission = _authenticate(house, place, service, headers)
         body = await _read_body(receive, service.policy.max_body_bytes)
         deadline_ms = _read_deadline(headers, admission.tier)
         key = _read_idempotency_key(scope["method"], headers, service)
@@ -194,7 +203,7 @@
             idempotency_key=key,
         )
 
-    def _find_settings(self) -> "_SettingsInForce":
+    def _require_settings(self) -> "_SettingsInForce":
         """Returns the settings in force, if requests can be routed.
 
         Raises:
@@ -220,22 +229,22 @@
 
 
 def _render_target(scope: Message) -> str:
-    """Returns path and query as the server gets them."""
+    """Returns the path and query that are sent to the server."""
     path: str = urllib.parse.quote(scope["path"])
     query: bytes = scope["query_string"]
     return f"{path}?{query.decode('latin-1')}" if query else path
 
 
-def _find_caller(
+def _authenticate(
     house: tree.House,
     place: tree.Place,
     service: tree.Service,
     headers: dict[bytes, bytes],
 ) -> callers.Admitted:
-    """Returns the caller and its tier.
+    """Authenticates the caller and returns it with its tier.
 
     Raises:
-        _RefusedError: The caller is not admitted.
+        _RefusedError: The caller is unknown or has no tier in the service.
     """
     scheme, _, credential = headers.get(b"authorization", b"").partition(b" ")
     if scheme.lower() != b"bearer":
@@ -260,7 +269,7 @@
     """Returns the whole body.
 
     Raises:
-        _RefusedError: It is too large or cut off.
+        _RefusedError: The body is too large, or the caller disconnected.
     """
     body = bytearray()
     while True:
@@ -278,10 +287,10 @@
 
 
 def _read_deadline(headers: dict[bytes, bytes], tier: tree.Tier) -> int:
-    """Returns the caller's deadline, or the tier's if it names none.
+    """Returns the deadline in ms from the header, or else that of the tier.
 
     Raises:
-        _RefusedError: It is not a whole number above 0.
+        _RefusedError: The header is not a whole number above 0.
     """
     text = headers.get(b"bridgecross-deadline-ms")
     if text is None:
@@ -295,10 +304,10 @@
 def _read_idempotency_key(
     method: str, headers: dict[bytes, bytes], service: tree.Service
 ) -> str:
-    """Returns the key of a request that may not run twice, else nothing.
+    """Returns the idempotency key of a non-repeatable request, else "".
 
     Raises:
-        _RefusedError: Such a request has no sound key.
+        _RefusedError: A non-repeatable request has no valid key.
     """
     if method not in service.policy.non_repeatable_methods:
         return ""
@@ -312,8 +321,8 @@
     return text
 
 
-async def _answer_lifespan(receive: Receive, send: Send) -> None:
-    """Answers the server's start and stop; there is nothing to do."""
+async def _handle_lifespan(receive: Receive, send: Send) -> None:
+    """Handles the ASGI lifespan events, for which there is nothing to do."""
     while True:
         message = await receive()
         if message["type"] == "lifespan.startup":
@@ -326,7 +335,7 @@
 async def _send_outcome(
     send: Send, outcome: outcomes.Outcome, request_id: str, closing: bool
 ) -> None:
-    """Tells the caller what became of its request."""
+    """Sends the response for the outcome of a request."""
     match outcome:
         case outcomes.Answered():
             headers = [(h.name, h.value) for h in outcome.headers]
@@ -361,14 +370,15 @@
     closing: bool,
     proof: bytes = outcomes.NotRunProof.REFUSED_BY_ADMISSION.value.encode(),
 ) -> None:
-    """Tells the caller that its request was not run, and why."""
+    """Sends a response that says why the request was not run."""
     headers = [
         (b"content-type", _PROBLEM_TYPE),
         (_OUTCOME_HEADER, b"not-run"),
         (_PROOF_HEADER, proof),
     ]
     if problem.retry_after_ms:
-        # The header has whole seconds only; the second gives milliseconds.
+        # ``Retry-After`` only allows whole seconds, so a second header gives
+        # the milliseconds.
         seconds = -(-problem.retry_after_ms // 1_000)
         headers.append((b"retry-after", b"%d" % seconds))
         headers.append(
@@ -379,7 +389,7 @@
 
 
 def _render_problem(problem: Problem, outcome: str, request_id: str) -> bytes:
-    """Returns the body of a problem."""
+    """Returns the JSON body of a problem response."""
     body = _ProblemBody(
         type="about:blank",
         title=problem.title,
@@ -398,7 +408,7 @@
     body: bytes,
     closing: bool,
 ) -> None:
-    """Sends a whole answer; a stopping instance closes the connection."""
+    """Sends a response; a stopping instance closes the connection."""
     headers.append((b"content-length", b"%d" % len(body)))
     if closing:
         headers.append((b"connection", b"close"))
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_metrics.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an instance, for Prometheus."""
+"""The metrics of an instance, in the Prometheus format."""
 
 from typing import Any
 from typing import NamedTuple
@@ -17,17 +17,17 @@
 
 
 class Exposition(NamedTuple):
-    """The metrics as text, with its content type."""
+    """The metrics as text, and the content type of the text."""
 
     body: bytes
     content_type: str
 
 
 class Metrics:
-    """Counts what happens and renders it."""
+    """Collects the metrics of an instance and renders them."""
 
     def __init__(self) -> None:
-        """Starts at nought."""
+        """Registers all metrics with the value 0."""
         self._registry: Any = aioprometheus.Registry()
         self._requests = aioprometheus.Counter(
             "bridgecross_requests_total",
@@ -68,13 +68,13 @@
         outcome: outcomes.Outcome,
         duration_s: float,
     ) -> None:
-        """Counts a request that has ended."""
+        """Counts a request that has ended, and its duration."""
         name = _OUTCOME_NAMES[type(outcome)]
         self._requests.inc({"service": service, "tier": tier, "outcome": name})
         self._latency.observe({"service": service, "tier": tier}, duration_s)
 
     def render(self, status: peer_protocol.InstanceStatus) -> Exposition:
-        """Returns all metrics, with gauges taken from a status."""
+        """Returns all metrics; the gauges are set from a status."""
         self._log_age.set({}, status.log_age_ms / 1_000)
         self._in_flight.set({}, status.in_flight)
         for service in status.services:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_platform.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's instance list, and who lives at which address."""
+"""The platform's instance list, addresses, and lease messages over HTTP."""
 
 import anyio
 import httpcore
@@ -13,7 +13,7 @@
 from bridgecross_request import runner as runners
 
 _LIST_TIMEOUT_S = 2.0
-_LEASE_CONNECTIONS = 2
+_LEASE_MAX_CONNECTIONS = 2
 _HTTP_ERRORS = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
@@ -21,8 +21,8 @@
 )
 
 
-class ListReader:
-    """Reads the instance list again and again."""
+class InstanceListPoller:
+    """Reads the instance list periodically."""
 
     def __init__(
         self,
@@ -30,24 +30,24 @@
         interval_ms: int,
         membership: memberships.Membership,
     ) -> None:
-        """Reads nothing yet.
+        """Initializes the poller; ``run`` starts it.
 
         Args:
-            source: Where the list is.
-            interval_ms: How often it is read.
-            membership: Where the newest list goes.
+            source: Reads the list.
+            interval_ms: The pause between two reads.
+            membership: Receives each list that was read.
         """
         self._source = source
         self._interval_s = interval_ms / 1_000
         self._membership = membership
 
     async def run(self) -> None:
-        """Reads the list until it is cancelled; an outage keeps the old."""
+        """Reads the list until cancelled; a failed read keeps the old list."""
         while True:
             try:
                 self._membership.replace(await self._source.read())
             except ports.InstanceListUnavailableError as error:
-                loguru.logger.debug("instance list: {}", error)
+                loguru.logger.debug("instance list not read: {}", error)
             await anyio.sleep(self._interval_s)
 
 
@@ -55,7 +55,7 @@
     """The instance list over HTTP: ``GET /instances``."""
 
     def __init__(self, url: str) -> None:
-        """Opens no connection yet."""
+        """Creates the client; connections are opened on first use."""
         self._client = httpx.AsyncClient(
             base_url=url, timeout=_LIST_TIMEOUT_S, trust_env=False
         )
@@ -75,16 +75,16 @@
 
 
 class Addresses:
-    """Finds addresses in the instance list.
+    """Looks up the addresses of servers and instances.
 
-    A server or instance that the list has dropped may still hold something,
-    so its last address is remembered.
+    A server or instance that is no longer listed may still hold a lease or
+    slices, so its last listed address is kept.
     """
 
     def __init__(self, membership: memberships.Membership) -> None:
-        """Remembers no address yet."""
+        """Starts without addresses of unlisted servers and instances."""
         self._membership = membership
-        self._remembered: dict[str, str] = {}
+        self._last_addresses: dict[str, str] = {}
 
     def find_address(self, server: ids.ServerId) -> str | None:
         """Returns a server's address; see ``runner.AddressBook``."""
@@ -99,25 +99,25 @@
         return set(self._membership.list_instances())
 
     def _find(self, name: str) -> str | None:
-        """Returns the newest address that was listed for a name."""
+        """Returns the last address that was listed for a name."""
         listing = self._membership.find(name)
         if listing is not None:
-            self._remembered[name] = listing.address
-        return self._remembered.get(name)
+            self._last_addresses[name] = listing.address
+        return self._last_addresses.get(name)
 
 
 class HttpLeaseTransport:
-    """Lease exchanges with backend servers over HTTP.
+    """Exchanges leases with backend servers over HTTP.
 
-    The lower layer of ``httpx`` is used, as it costs half the processor time
-    and this is the most frequent message of all.
+    It uses ``httpcore``, the lower layer of ``httpx``, because that takes half
+    the processor time and lease requests are the most frequent messages.
 
     Protocol: ``PUT /bridgecross/lease`` with a JSON ``LeaseRequest``; the
     answer is a JSON ``LeaseReply``.
     """
 
     def __init__(self, addresses: runners.AddressBook) -> None:
-        """Opens no connection yet."""
+        """Creates the transport; connections are opened on first use."""
         self._addresses = addresses
         self._pools: dict[str, httpcore.AsyncConnectionPool] = {}
 
@@ -147,13 +147,13 @@
             await pool.aclose()
 
     def _find_pool(self, address: str) -> httpcore.AsyncConnectionPool:
-        """Returns the pool of one server.
+        """Returns the connection pool of one server.
 
-        A pool looks at each of its connections for every request, so one
-        pool for all servers would cost more with each server.
+        A pool checks each of its connections for every request, so the cost of
+        one pool for all servers would grow with the number of servers.
         """
         if address not in self._pools:
             self._pools[address] = httpcore.AsyncConnectionPool(
-                max_connections=_LEASE_CONNECTIONS
+                max_connections=_LEASE_MAX_CONNECTIONS
             )
         return self._pools[address]
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
@@ -1,4 +1,4 @@
-"""Appends snapshots of the control state before retention cuts it."""
+"""Appends snapshots of the control state before its records expire."""
 
 from collections.abc import Callable
 import dataclasses
@@ -17,19 +17,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class SnapshotSettings:
-    """When a snapshot is due."""
+    """When a snapshot is due; either limit is sufficient."""
 
-    # Records since the last one.
+    # The number of records since the last snapshot.
     records: int
-    # Seconds since the last one.
+    # The seconds since this instance last appended a snapshot.
     interval_s: int
 
 
 class SnapshotWriter:
     """The task that appends snapshots.
 
-    A snapshot is a function of the log's prefix, so a second one by another
-    instance does no harm.
+    A snapshot depends only on the records before it, so it does no harm if
+    another instance appends one as well.
     """
 
     def __init__(
@@ -39,46 +39,52 @@
         appender: appenders.Appender,
         clock: clocks.Clock,
     ) -> None:
-        """Has taken none yet."""
+        """Initializes the writer; the first interval starts now."""
         self._settings = settings
         self._state = state
         self._appender = appender
         self._clock = clock
-        self._taken_at_s = clock.monotonic_s()
+        self._appended_s = clock.monotonic_s()
 
-    async def run(self, is_mine: Callable[[], bool]) -> None:
-        """Appends snapshots when they are due, until it is cancelled.
+    async def run(self, is_responsible: Callable[[], bool]) -> None:
+        """Appends snapshots when they are due, until cancelled.
 
         Args:
-            is_mine: Whether this instance is the one to take them.
+            is_responsible: Whether this instance should append them now.
         """
         while True:
             await anyio.sleep(_CHECK_INTERVAL_S)
-            if is_mine() and self._is_due():
-                await self._take()
+            if is_responsible() and self._is_due():
+                await self._append_snapshot()
 
     def _is_due(self) -> bool:
         """Returns whether enough records or time have passed."""
         if self._state.awaits_snapshot or self._state.settings.version is None:
             return False
         newest = self._state.next_offset - 1
-        behind = newest - max(self._state.snapshot_as_of, 0)
-        age_s = self._clock.monotonic_s() - self._taken_at_s
+        record_count = newest - max(self._state.snapshot_as_of, 0)
+        age_s = self._clock.monotonic_s() - self._appended_s
         return (
-            behind >= self._settings.records
+            record_count >= self._settings.records
             or age_s >= self._settings.interval_s
         )
 
-    async def _take(self) -> None:
-        """Appends all chunks of a snapshot; a lost one spoils it."""
-        self._taken_at_s = self._clock.monotonic_s()
-        whole = self._state.to_snapshot()
+    async def _append_snapshot(self) -> None:
+        """Appends all chunks of a snapshot.
+
+        It stops at the first chunk that fails, because readers ignore an
+        incomplete snapshot.
+        """
+        self._appended_s = self._clock.monotonic_s()
+        snapshot = self._state.to_snapshot()
         snapshot_id = log_records.new_record_id()
-        for chunk in snapshots.split_snapshot(whole, snapshot_id):
+        for chunk in snapshots.split_snapshot(snapshot, snapshot_id):
             outcome = await self._appender.append(
                 snapshots.CHUNK_KIND, snapshots.encode_chunk(chunk)
             )
             if not isinstance(outcome, appenders.Applied):
-                loguru.logger.warning("snapshot not whole: {}", outcome)
+                loguru.logger.warning("snapshot incomplete: {}", outcome)
                 return
-        loguru.logger.info("snapshot as of {}", whole.as_of)
+        loguru.logger.info(
+            "appended a snapshot as of offset {}", snapshot.as_of
+        )
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -51,7 +51,7 @@
 
 
 class Instance:
-    """An entry instance; all instances have the same functions."""
+    """An entry instance; all entry instances have the same function."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         )
         self._membership = memberships.Membership()
         self._addresses = _platform.Addresses(self._membership)
-        self._instance_list_reader = _platform.ListReader(
+        self._instance_list_poller = _platform.InstanceListPoller(
             outside.listing, settings.list_interval_ms, self._membership
         )
         self._peer_watcher = _heartbeats.PeerWatcher(
@@ -159,7 +159,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Runs until a graceful stop is complete."""
+        """Runs until a planned shutdown is complete."""
         loguru.logger.info(
             "{} started for {}/{}",
             self._me,
@@ -171,7 +171,7 @@
             self._apply_change()
             tasks.start_soon(self._control_follower.run)
             tasks.start_soon(self._intent_follower.run)
-            tasks.start_soon(self._instance_list_reader.run)
+            tasks.start_soon(self._instance_list_poller.run)
             tasks.start_soon(self._heartbeats.run)
             tasks.start_soon(self._append_snapshots)
             tasks.start_soon(self._peer_log_reader.run)
@@ -187,7 +187,7 @@
         loguru.logger.info("{} has stopped", self._me)
 
     def stop(self) -> None:
-        """Starts a graceful stop."""
+        """Starts a planned shutdown."""
         self._stopping.set()
 
     def now_s(self) -> float:
@@ -195,7 +195,7 @@
         return self._clock.monotonic_s()
 
     async def wait_drained(self) -> None:
-        """Waits until a graceful stop has ended its drain."""
+        """Waits until a planned shutdown has ended its drain."""
         await self._drained.wait()
 
     def close(self) -> None:
@@ -203,7 +203,7 @@
         self._closing.set()
 
     def drain_limit_s(self) -> float:
-        """Returns how long the drain of a graceful stop may take."""
+        """Returns how long the drain of a planned shutdown may take."""
         policy = self._find_policy()
         return (policy.drain_notice_ms + policy.drain_ms) / 1_000
 
@@ -354,7 +354,7 @@
     async def drain(
         self, request: peer_protocol.DrainRequest
     ) -> peer_protocol.DrainReply:
-        """Starts a graceful stop."""
+        """Starts a planned shutdown."""
         self.stop()
         return peer_protocol.DrainReply(self._in_flight)
 
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/main.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/main.py
@@ -24,8 +24,8 @@
         arguments: The command line without the program's name.
 
     Returns:
-        The exit code: 0 after a planned stop, 2 if the settings are not
-        sound, 1 if an address cannot be bound.
+        The exit code: 0 after a planned shutdown, 2 if the settings are
+        invalid, 1 if an address cannot be bound.
     """
     options = _build_parser().parse_args(arguments)
     try:
@@ -33,12 +33,12 @@
     except findings.FindingsError as error:
         print(error, file=sys.stderr)
         return EXIT_BAD_SETTINGS
-    _set_up_logs(settings)
+    _configure_logging(settings)
     code = EXIT_OK
     try:
         anyio.run(_run, settings)
     except* (OSError, RuntimeError) as group:
-        loguru.logger.opt(exception=group).error("cannot go on")
+        loguru.logger.opt(exception=group).error("the instance failed")
         code = EXIT_FAILED
     return code
 
@@ -48,22 +48,22 @@
     parser = argparse.ArgumentParser(
         prog="bridgecrossd",
         description="An entry instance of bridgecross.",
-        epilog="SIGTERM or SIGINT begins a planned stop.",
+        epilog="SIGTERM or SIGINT starts a planned shutdown.",
     )
     parser.add_argument(
         "--settings",
         required=True,
         type=pathlib.Path,
-        help="the process's settings, as JSON with comments",
+        help="the file with the process's settings, JSON with comments",
     )
     return parser
 
 
 def _read_settings(path: pathlib.Path) -> process.ProcessSettings:
-    """Reads and checks the process's settings.
+    """Reads and validates the process's settings.
 
     Raises:
-        findings.FindingsError: The file is missing or not sound.
+        findings.FindingsError: The file cannot be read or is invalid.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -74,8 +74,8 @@
     return process.check_process_text(text, str(path))
 
 
-def _set_up_logs(settings: process.ProcessSettings) -> None:
-    """Writes one JSON object a line to standard error."""
+def _configure_logging(settings: process.ProcessSettings) -> None:
+    """Configures logging of one JSON object per line to standard error."""
     loguru.logger.remove()
     loguru.logger.add(
         sys.stderr, level=settings.log_level, serialize=True, diagnose=False
@@ -84,7 +84,7 @@
 
 
 async def _run(settings: process.ProcessSettings) -> None:
-    """Runs the instance and turns signals into a planned stop."""
+    """Runs the instance; signals start a planned shutdown."""
     daemon = serving.Daemon(settings)
     async with anyio.create_task_group() as tasks:
         await tasks.start(signals.watch_stop, daemon.stop)
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_protocol.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_protocol.py
@@ -260,7 +260,7 @@
 receiver knows about the same requests or, if none is named, about all."""
 
 DRAIN = Method("Drain", DrainRequest, DrainReply)
-"""Starts a graceful stop."""
+"""Starts a planned shutdown."""
 
 TIMELINE = Method("Timeline", TimelineRequest, TimelineReply)
 """Returns the events that an instance has recorded."""
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_server.py
@@ -77,7 +77,7 @@
     async def drain(
         self, request: peer_protocol.DrainRequest
     ) -> peer_protocol.DrainReply:
-        """Starts a graceful stop."""
+        """Starts a planned shutdown."""
 
     async def timeline(
         self, request: peer_protocol.TimelineRequest
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/serving.py
@@ -43,11 +43,11 @@
         self._stop_servers = anyio.Event()
 
     def stop(self) -> None:
-        """Starts a graceful stop."""
+        """Starts a planned shutdown."""
         self._instance.stop()
 
     async def run(self) -> None:
-        """Runs until a graceful stop is complete.
+        """Runs until a planned shutdown is complete.
 
         Raises:
             OSError: An HTTP address cannot be bound.
