--- a/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/dispatch.py
@@ -262,11 +262,11 @@
         been added since, and the caller is asked to retry.
         """
         age_s = self.configuration_age_s()
-        certain = age_s * 1_000 <= self._instance.bounds.configuration_ms
-        outcome = "no-route" if certain else "route-unknown"
+        is_certain = age_s * 1_000 <= self._instance.bounds.configuration_ms
+        outcome = "no-route" if is_certain else "route-unknown"
         self._metrics.requests.inc({"service": "", "outcome": outcome})
         self._journal.decision(
-            "no_route" if certain else "route_unknown",
+            "no_route" if is_certain else "route_unknown",
             request=request.request_id,
             host=request.host,
             path=request.path,
@@ -274,7 +274,7 @@
             # JSON cannot represent infinity.
             age_s=round(age_s, 3) if math.isfinite(age_s) else None,
         )
-        if certain:
+        if is_certain:
             return _not_run("no route leads there", status=404)
         return self._refuse("the configuration may have changed")
 
@@ -1063,18 +1063,20 @@
     ) -> None:
         """Adds a request to the totals of its route."""
         if abort_reason:
-            result = tallies.CALLER_LEFT
+            outcome_label = tallies.CALLER_LEFT
         elif isinstance(outcome, outcomes.Answered) and (
             outcome.status < _FIRST_ERROR_STATUS
         ):
             in_time = now_s <= state.target_s
-            result = tallies.IN_TIME if in_time else tallies.LATE
+            outcome_label = tallies.IN_TIME if in_time else tallies.LATE
         else:
-            result = tallies.find_cause(state.trail)
-        ended = tallies.RequestResult(
-            state.caller_age_s == 0.0, result, now_s - state.request.received_s
+            outcome_label = tallies.find_cause(state.trail)
+        result = tallies.RequestResult(
+            state.caller_age_s == 0.0,
+            outcome_label,
+            now_s - state.request.received_s,
         )
-        self.tally.count(state.route, state.service, ended)
+        self.tally.count(state.route, state.service, result)
 
     def _get_retry_budget(
         self, service: ids.ServiceName
