--- a/libs/bridgecross-timeline/src/bridgecross_timeline/__init__.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/__init__.py
@@ -1,8 +1,8 @@
-"""Causally ordered events over all processes.
+"""Causally ordered events of all processes.
 
-* ``events``: the types of event, and an event with its stamp.
-* ``ring``: the bounded memory of one process.
-* ``render``: a time line as text, as JSON lines, or as one HTML page.
+* ``events``: the types of events, and their form between processes.
+* ``ring``: the ring buffer of one process's events.
+* ``render``: renders a timeline as text or as one HTML page.
 """
 
 __all__ = ["events", "render", "ring"]
--- a/libs/bridgecross-timeline/src/bridgecross_timeline/events.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/events.py
@@ -1,4 +1,4 @@
-"""The types of event, and an event with its stamp."""
+"""The types of events, and their form between processes."""
 
 import dataclasses
 from typing import Any
@@ -13,9 +13,9 @@
 class TermBegan:
     """A coordinator's claim became valid."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The term: the offset of the claim.
+    # The term, which is the offset of the claim.
     term: int
     # The instance that coordinates the service in this term.
     coordinator: str
@@ -23,15 +23,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlicesMoved:
-    """An assignment became valid in the log."""
+    """A valid assignment was appended to the log."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The offset of the assignment: the fencing token of its grants.
+    # The offset of the assignment, which is the fencing token of its grants.
     token: int
-    # How many slices got a new owner.
+    # The number of slices that got a new owner.
     slices: int
-    # Why the coordinator made it.
+    # Why the coordinator moved them.
     reason: str
 
 
@@ -39,9 +39,9 @@
 class FrontChanged:
     """An instance became, or ceased to be, the front of a server."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The backend server.
+    # The id of the backend server.
     server: str
     # The instance that fronts the server from now on.
     front: str
@@ -53,21 +53,21 @@
 class SlicesGranted:
     """A backend server accepted a grant."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The backend server.
+    # The id of the backend server.
     server: str
-    # How many slices it now holds.
+    # The number of slices that it now holds.
     slices: int
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseLost:
-    """A server's lease is certainly over."""
+    """A server's lease has certainly expired."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The backend server.
+    # The id of the backend server.
     server: str
     # What was observed.
     reason: str
@@ -75,9 +75,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettingsInForce:
-    """A version of the settings took force in this process."""
+    """A version of the settings was applied in this process."""
 
-    # The version: the offset of the change.
+    # The version, which is the offset of the change.
     version: int
     # Who published it.
     author: str
@@ -87,21 +87,21 @@
 class RequestRefused:
     """A request was refused before it was sent to a server."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The tier.
+    # The name of the tier.
     tier: str
-    # Why.
+    # Why it was refused.
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestRetried:
-    """A request that was certainly not run is tried again."""
+    """A request that was certainly not run is retried."""
 
-    # The service.
+    # The name of the service.
     service: str
-    # The attempt that failed, from 1.
+    # The number of the attempt that failed, starting at 1.
     attempt: int
     # Why it failed.
     reason: str
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DrainBegan:
-    """This process began a planned stop."""
+    """This process started a planned shutdown."""
 
     # Requests in flight at that time.
     requests_in_flight: int
@@ -117,17 +117,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class DrainEnded:
-    """This process ended a planned stop."""
+    """This process finished the drain of a planned shutdown."""
 
-    # Requests cut off; 0 unless the drain ran out of time.
+    # Requests that were cut off; 0 unless the drain timed out.
     requests_cut_off: int
 
 
 @dataclasses.dataclass(frozen=True)
 class FaultSeen:
-    """Something outside this process failed or came back."""
+    """Something outside this process failed or recovered."""
 
-    # What it is, such as ``log`` or ``instance entry-2``.
+    # What failed or recovered, such as ``log`` or ``instance entry-2``.
     subject: str
     # What was observed.
     problem: str
@@ -146,9 +146,9 @@
     | DrainEnded
     | FaultSeen
 )
-"""What an event says."""
+"""The details of an event; the type of the detail is the event's type."""
 
-_KINDS: dict[str, type[Detail]] = {
+_TYPE_BY_KIND: dict[str, type[Detail]] = {
     "term": TermBegan,
     "move": SlicesMoved,
     "front": FrontChanged,
@@ -161,14 +161,16 @@
     "drained": DrainEnded,
     "fault": FaultSeen,
 }
-_KIND_OF = {detail_type: kind for kind, detail_type in _KINDS.items()}
+_KIND_BY_TYPE = {
+    detail_type: kind for kind, detail_type in _TYPE_BY_KIND.items()
+}
 
-KINDS = tuple(_KINDS)
-"""The short names of all kinds of event."""
+KINDS = tuple(_TYPE_BY_KIND)
+"""The names of all kinds of events."""
 
 
 class Event(NamedTuple):
-    """An event of one process at one point of the time line."""
+    """An event of one process, with its time."""
 
     stamp: hybrid_clock.Timestamp
     process: str
@@ -176,12 +178,12 @@
 
     @property
     def kind(self) -> str:
-        """The short name of the event's kind."""
-        return _KIND_OF[type(self.detail)]
+        """The name of the event's kind."""
+        return _KIND_BY_TYPE[type(self.detail)]
 
 
 class WireEvent(NamedTuple):
-    """An event as it travels between processes."""
+    """An event as sent between processes."""
 
     stamp: hybrid_clock.Timestamp
     process: str
@@ -190,7 +192,7 @@
 
 
 def to_wire(event: Event) -> WireEvent:
-    """Returns the event ready to be encoded."""
+    """Returns the event in the form in which it is sent."""
     detail = dataclasses.asdict(event.detail)
     return WireEvent(event.stamp, event.process, event.kind, detail)
 
@@ -199,8 +201,8 @@
     """Returns the event that was sent.
 
     Raises:
-        KeyError: A newer process sent a kind that is not known here.
-        msgspec.ValidationError: The detail does not fit its kind.
+        KeyError: The kind is unknown, as when a newer process sent it.
+        msgspec.ValidationError: The detail does not match its kind.
     """
-    detail = msgspec.convert(wire.detail, _KINDS[wire.kind])
+    detail = msgspec.convert(wire.detail, _TYPE_BY_KIND[wire.kind])
     return Event(wire.stamp, wire.process, detail)
--- a/libs/bridgecross-timeline/src/bridgecross_timeline/render.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/render.py
@@ -1,4 +1,4 @@
-"""A time line as text or as one self-contained HTML page."""
+"""Renders a timeline as text or as one self-contained HTML page."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 from bridgecross_timeline import events
 
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 _LANE_HEIGHT_PX = 44
 _LABEL_WIDTH_PX = 160
 _LANE_WIDTH_PX = 1_400
@@ -36,18 +36,18 @@
 
 
 def describe(detail: events.Detail) -> str:
-    """Returns the fields of an event as ``name=value`` words."""
+    """Returns the fields of an event as ``name=value`` pairs."""
     fields = dataclasses.asdict(detail)
     return " ".join(f"{name}={value}" for name, value in fields.items())
 
 
 def render_text(timeline: Sequence[events.Event]) -> str:
-    """Returns one line an event."""
+    """Returns the timeline as text, with one line per event."""
     lines = []
     for event in timeline:
-        moment = _render_moment(event)
+        time_text = _render_time(event)
         lines.append(
-            f"{moment} {event.process:<14} {event.kind:<9} "
+            f"{time_text} {event.process:<14} {event.kind:<9} "
             f"{describe(event.detail)}"
         )
     return "\n".join(lines)
@@ -56,8 +56,8 @@
 def render_html(timeline: Sequence[events.Event]) -> str:
     """Returns one HTML page with a lane for each process.
 
-    The page needs nothing else: the drawing is inline SVG, and each mark
-    shows its event when pointed at. A table below lists all events.
+    The page needs no other files: the lanes are inline SVG, and each event's
+    mark shows its details in a tooltip. A table below lists all events.
     """
     processes = sorted({event.process for event in timeline})
     height = _HEADER_PX + _LANE_HEIGHT_PX * len(processes)
@@ -78,16 +78,16 @@
     )
 
 
-def _render_moment(event: events.Event) -> str:
-    """Returns the wall-clock time of an event with its logical part."""
-    moment = datetime.datetime.fromtimestamp(
-        event.stamp.wall_us / _MICROSECONDS, tz=datetime.UTC
+def _render_time(event: events.Event) -> str:
+    """Returns an event's wall-clock time and logical counter."""
+    time = datetime.datetime.fromtimestamp(
+        event.stamp.wall_us / _MICROSECONDS_PER_SECOND, tz=datetime.UTC
     )
-    return f"{moment:%H:%M:%S.%f}+{event.stamp.logical}"
+    return f"{time:%H:%M:%S.%f}+{event.stamp.logical}"
 
 
 def _render_legend() -> str:
-    """Returns the colours of the kinds of event."""
+    """Returns the legend: the colour of each kind of event."""
     return " ".join(
         f"<span style='color:{colour}'>&#9679; {kind}</span>"
         for kind, colour in _COLOURS.items()
@@ -95,7 +95,7 @@
 
 
 def _draw_lane(index: int, process: str) -> str:
-    """Returns the line and the name of one process."""
+    """Returns the line and the label of one process's lane."""
     y = _HEADER_PX + _LANE_HEIGHT_PX * index
     end = _LABEL_WIDTH_PX + _LANE_WIDTH_PX
     return (
@@ -108,17 +108,17 @@
 def _draw_marks(
     timeline: Sequence[events.Event], processes: list[str]
 ) -> Iterable[str]:
-    """Yields a mark for each event, placed by time and process."""
+    """Yields the mark of each event, positioned by time and process."""
     if not timeline:
         return
     start_us = timeline[0].stamp.wall_us
     span_us = max(timeline[-1].stamp.wall_us - start_us, 1)
     for event in timeline:
-        share = (event.stamp.wall_us - start_us) / span_us
-        x = _LABEL_WIDTH_PX + share * _LANE_WIDTH_PX
+        fraction = (event.stamp.wall_us - start_us) / span_us
+        x = _LABEL_WIDTH_PX + fraction * _LANE_WIDTH_PX
         y = _HEADER_PX + _LANE_HEIGHT_PX * processes.index(event.process)
         title = html.escape(
-            f"{_render_moment(event)} {event.kind} {describe(event.detail)}"
+            f"{_render_time(event)} {event.kind} {describe(event.detail)}"
         )
         yield (
             f"<circle cx='{x:.1f}' cy='{y}' r='{_MARK_RADIUS_PX}' "
@@ -127,9 +127,9 @@
 
 
 def _render_row(event: events.Event) -> str:
-    """Returns an event as a row of the table."""
+    """Returns the table row of an event."""
     cells = (
-        _render_moment(event),
+        _render_time(event),
         event.process,
         event.kind,
         describe(event.detail),
--- a/libs/bridgecross-timeline/src/bridgecross_timeline/ring.py
+++ b/libs/bridgecross-timeline/src/bridgecross_timeline/ring.py
@@ -1,4 +1,4 @@
-"""The bounded memory of the events of one process."""
+"""A ring buffer of the newest events of one process."""
 
 import collections
 import dataclasses
@@ -9,21 +9,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class RingSettings:
-    """How a process remembers its events."""
+    """Settings of a ring buffer."""
 
-    # The process's name on the time line.
+    # The process's name on the timeline.
     process: str
-    # How many events it remembers; older ones are forgotten.
+    # The number of events that are kept; older ones are dropped.
     capacity: int = 4_096
 
 
 class Ring:
-    """Remembers the newest events of this process."""
+    """Keeps the newest events of this process."""
 
     def __init__(
         self, settings: RingSettings, clock: hybrid_clock.HybridClock
     ) -> None:
-        """Remembers nothing yet."""
+        """Starts without events.
+
+        Args:
+            settings: The name of the process and the buffer's capacity.
+            clock: The clock that stamps the events.
+        """
         self._process = settings.process
         self._events: collections.deque[events.Event] = collections.deque(
             maxlen=settings.capacity
@@ -31,11 +36,11 @@
         self.clock = clock
 
     def add(self, detail: events.Detail) -> None:
-        """Remembers an event of this moment."""
+        """Adds an event with the current time."""
         self._events.append(
             events.Event(self.clock.tick(), self._process, detail)
         )
 
     def list_events(self) -> list[events.Event]:
-        """Returns the remembered events, the oldest first."""
+        """Returns the events that are kept, oldest first."""
         return list(self._events)
--- a/libs/bridgecross-timeline/tests/test_timeline.py
+++ b/libs/bridgecross-timeline/tests/test_timeline.py
@@ -13,7 +13,7 @@
 DETAILS = typing.get_args(events.Detail)
 
 
-def _make(detail_type):
+def _make_detail(detail_type):
     values = {
         field.name: "<x>" if field.type is str else 7
         for field in dataclasses.fields(detail_type)
@@ -22,32 +22,30 @@
 
 
 @pytest.mark.parametrize("detail_type", DETAILS)
-def test_every_event_survives_the_wire(detail_type):
+def test_every_event_is_the_same_after_it_was_sent(detail_type):
     event = events.Event(
-        hybrid_clock.Timestamp(5, 1), "entry-1", _make(detail_type)
+        hybrid_clock.Timestamp(5, 1), "entry-1", _make_detail(detail_type)
     )
-    wires = codec.Codec(events.WireEvent)
-    sent = wires.decode(wires.encode(events.to_wire(event)))
+    wire_codec = codec.Codec(events.WireEvent)
+    sent = wire_codec.decode(wire_codec.encode(events.to_wire(event)))
     assert events.from_wire(sent) == event
     assert event.kind in events.KINDS
 
 
-def test_a_ring_forgets_the_oldest():
+def test_a_full_ring_drops_its_oldest_events():
     settings = ring.RingSettings("entry-1", capacity=3)
-    remembered = ring.Ring(
-        settings, hybrid_clock.HybridClock(clock.SystemClock())
-    )
+    buffer = ring.Ring(settings, hybrid_clock.HybridClock(clock.SystemClock()))
     for number in range(5):
-        remembered.add(events.DrainBegan(number))
-    kept = [event.detail for event in remembered.list_events()]
-    assert kept == [events.DrainBegan(n) for n in (2, 3, 4)]
+        buffer.add(events.DrainBegan(number))
+    details = [event.detail for event in buffer.list_events()]
+    assert details == [events.DrainBegan(n) for n in (2, 3, 4)]
 
 
-def test_lanes_merge_in_causal_order_and_render():
+def test_lanes_are_merged_in_causal_order_and_rendered():
     lanes = [
         [
             events.Event(
-                hybrid_clock.Timestamp(t, 0), name, _make(DETAILS[t % 3])
+                hybrid_clock.Timestamp(t, 0), name, _make_detail(DETAILS[t % 3])
             )
         ]
         for t, name in ((3, "entry-1"), (1, "entry-2"), (2, "<entry-3>"))
