--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_peer_log_reader.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_peer_log_reader.py
@@ -41,7 +41,7 @@
     ) -> None:
         """Starts without witnesses."""
         self.witnesses: set[ids.InstanceId] = set()
-        # The listed instance whose index it was in the last round.
+        # The listed instance that was asked in the last round.
         self._last_chosen = me
         self._me = me
         self._state = state
@@ -87,7 +87,7 @@
         )
 
     def _choose_next(self) -> set[ids.InstanceId]:
-        """Returns the listed instance whose index it is, if there is any."""
+        """Returns the next listed instance in rotation, if there is any."""
         others = sorted(self._addresses.list_instances() - {self._me})
         if not others:
             return set()
@@ -118,9 +118,9 @@
     async def _ask(
         self, instance: ids.InstanceId, from_offset: ids.Offset
     ) -> peer_protocol.NewsReply | None:
-        """Returns an instance's reply; None unless this very run of it replied.
+        """Returns an instance's reply, or None if there was none.
 
-        Another run of it may have read less of the log.
+        The reply of another run of the instance at its address does not count.
         """
         address = self._addresses.find_peer_address(instance)
         if address is None:
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_snapshots.py
@@ -21,7 +21,7 @@
 
     # The number of records since the last snapshot.
     records: int
-    # The seconds since this instance last appended a snapshot.
+    # The seconds since this instance last started to append one.
     interval_s: int
 
 
@@ -44,7 +44,7 @@
         self._state = state
         self._appender = appender
         self._clock = clock
-        self._appended_s = clock.monotonic_s()
+        self._last_started_s = clock.monotonic_s()
 
     async def run(self, is_responsible: Callable[[], bool]) -> None:
         """Appends snapshots when they are due, until cancelled.
@@ -63,7 +63,7 @@
             return False
         newest = self._state.next_offset - 1
         record_count = newest - max(self._state.snapshot_as_of, 0)
-        age_s = self._clock.monotonic_s() - self._appended_s
+        age_s = self._clock.monotonic_s() - self._last_started_s
         return (
             record_count >= self._settings.records
             or age_s >= self._settings.interval_s
@@ -75,7 +75,7 @@
         It stops at the first chunk that fails, because readers ignore an
         incomplete snapshot.
         """
-        self._appended_s = self._clock.monotonic_s()
+        self._last_started_s = self._clock.monotonic_s()
         snapshot = self._state.to_snapshot()
         snapshot_id = log_records.new_record_id()
         for chunk in snapshots.split_snapshot(snapshot, snapshot_id):
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -528,7 +528,7 @@
         return self._services[first].cell.coordinator == self._me
 
     def _find_policy(self) -> policies.Policy:
-        """Returns the policy of this instance's place."""
+        """Returns the policy of this instance's place, or the defaults."""
         place = self.find_place()
         return place.policy if place else policies.Policy()
 
--- a/libs/bridgecross-daemon/tests/test_control.py
+++ b/libs/bridgecross-daemon/tests/test_control.py
@@ -49,12 +49,12 @@
 
 
 def _make_chunks(state: control.ControlState, offset: int):
-    complete = state.to_snapshot()
+    taken = state.to_snapshot()
     return [
         _make_record(
             offset + i, snapshot.CHUNK_KIND, snapshot.encode_chunk(chunk)
         )
-        for i, chunk in enumerate(snapshot.split_snapshot(complete, "s"))
+        for i, chunk in enumerate(snapshot.split_snapshot(taken, "s"))
     ]
 
 
@@ -106,9 +106,9 @@
 def test_an_older_snapshot_of_a_peer_is_ignored():
     old = _make_state()
     old.apply(_make_change(0, -1))
-    kept = old.to_snapshot()
+    older = old.to_snapshot()
     old.apply(_make_change(1, 0))
-    old.restore_from_peer(kept)
+    old.restore_from_peer(older)
     assert old.settings.offset == 1
     fresh = _make_state()
     fresh.restore_from_peer(old.to_snapshot())
