--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""The measurements behind ``docs/CAPACITY.md``.
+"""The benchmarks behind ``docs/CAPACITY.md``.
 
-``python -m benchmarks`` runs all of them, or the ones that are named, and
-prints a table; ``--json FILE`` keeps the rows.
+``python -m benchmarks`` runs all benchmarks, or those named as arguments, and
+prints a table. ``--json FILE`` writes the rows to a file as well.
 """
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the benchmarks that are named, or all of them."""
+"""Runs the benchmarks named on the command line, or all of them."""
 
 import argparse
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from benchmarks import fold
 from benchmarks import layers
 from benchmarks import poison
-from benchmarks import poison_ways
+from benchmarks import poison_fingerprints
 from benchmarks import rows
 from benchmarks import wire
 from bridgecross_core import codec
@@ -18,26 +18,28 @@
     "wire": wire.run,
     "layers": layers.run,
     "poison": poison.run,
-    "poison-ways": poison_ways.run,
+    "poison-ways": poison_fingerprints.run,
 }
-"""The benchmarks by name."""
+"""The functions that run the benchmarks, by name."""
 
 
 def main() -> int:
-    """Runs benchmarks and prints their rows."""
+    """Runs benchmarks and prints a table of their rows."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks")
-    parser.add_argument("names", nargs="*", metavar="NAME", help="default: all")
+    parser.add_argument(
+        "names", nargs="*", metavar="NAME", help="a benchmark (default: all)"
+    )
     parser.add_argument("--json", type=pathlib.Path, metavar="FILE")
     options = parser.parse_args()
     unknown = set(options.names) - set(BENCHMARKS)
     if unknown:
         parser.error(f"unknown: {', '.join(unknown)}; {', '.join(BENCHMARKS)}")
-    found: list[rows.Row] = []
+    results: list[rows.Row] = []
     for name in options.names or BENCHMARKS:
-        found += BENCHMARKS[name]()
-    print(rows.render(found))
+        results += BENCHMARKS[name]()
+    print(rows.render(results))
     if options.json:
-        options.json.write_text(codec.to_readable_json(found, indent=2))
+        options.json.write_text(codec.to_readable_json(results, indent=2))
     return 0
 
 
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,9 +1,9 @@
-"""Unavailable time, churn and imbalance under faults, on real processes.
+"""Measures unavailability, churn and imbalance under faults.
 
-For each scenario a house is started, requests are sent at a steady rate, the
-fault is caused, and the servers' journals are checked afterwards. Beside it
-stand two baselines that need no coordination, and so keep no key from having
-two owners: consistent hashing and modulo over the live servers.
+Each scenario starts a house of real processes, sends requests at a steady rate,
+causes a fault, and then checks the servers' journals. The results are compared
+with two baselines without coordination: consistent hashing and modulo over the
+live servers. The baselines do not prevent that a key has two owners.
 """
 
 import argparse
@@ -39,20 +39,20 @@
 _SERVERS = 10
 _KEYS = 200
 _RATE_PER_S = 160.0
-_HOT_RATE_PER_S = 60.0
+_HOT_KEY_RATE_PER_S = 60.0
 _DEADLINE_MS = 1_000
 _SETTLE_S = 2.0
-_RECOVER_S = 6.0
-_HOT_S = 20.0
+_RECOVERY_S = 6.0
+_HOT_KEY_S = 20.0
 _OTHERS = ("bulgu", "kapama", "cizim")
 
 
 class Result(NamedTuple):
-    """What one run of a scenario gave; times are seconds.
+    """The result of one run of a scenario; times are seconds.
 
-    ``churn`` is the share of keys with another owner than before, after the
-    fault and what followed; ``imbalance`` is the most loaded server's
-    requests over the mean.
+    ``churn`` is the share of keys whose owner after the scenario is not the
+    owner before the fault. ``imbalance`` is the ratio of the most loaded
+    server's requests to the mean.
     """
 
     scenario: str
@@ -73,108 +73,108 @@
     def __init__(
         self, house: processes.House, seed: int, outage_s: float
     ) -> None:
-        """Prepares a run.
+        """Initializes the run.
 
         Args:
             house: The house.
-            seed: Decides which server or instance is lost.
-            outage_s: How long an outage of the log lasts.
+            seed: The seed that selects the affected servers and instances.
+            outage_s: The duration of an outage of the log.
         """
         self.house = house
         self.outage_s = outage_s
-        self.randomness = random.Random(seed)
-        self.extra: list[probing.Prober] = []
-        self.choose: Callable[[], str | None] = lambda: None
-        self.load: anyio.abc.TaskGroup | None = None
+        self.random_source = random.Random(seed)
+        self.extra_probers: list[probing.Prober] = []
+        self.choose_url: Callable[[], str | None] = lambda: None
+        self.load_tasks: anyio.abc.TaskGroup | None = None
 
     def server(self, number: int) -> processes.Server:
-        """Returns a server of the measured service."""
+        """Returns a server of the measured service by its number from 1."""
         return self.house.servers[f"{_SERVICE}-{number}"]
 
-    def any_server(self) -> processes.Server:
-        """Returns a server by the seed."""
-        return self.server(self.randomness.randint(1, _SERVERS))
+    def pick_server(self) -> processes.Server:
+        """Returns a random server of the measured service."""
+        return self.server(self.random_source.randint(1, _SERVERS))
 
-    async def any_entry(self, *, coordinator: bool) -> processes.Entry:
-        """Returns an instance that does, or does not, coordinate."""
+    async def pick_entry(self, *, coordinator: bool) -> processes.Entry:
+        """Returns the coordinator, or a random instance other than it."""
         cell = await house_tools.read_cell(self.house, _SERVICE)
         names = [
             name
             for name in self.house.entries
             if (name == cell.coordinator) == coordinator
         ]
-        return self.house.entries[self.randomness.choice(names)]
+        return self.house.entries[self.random_source.choice(names)]
 
-    def set_log(self, faults: log_standin.LogFaults) -> None:
-        """Switches the faults of the log."""
+    def set_log_faults(self, faults: log_standin.LogFaults) -> None:
+        """Sets the faults of the log."""
         self.house.set_faults(self.house.log_url, faults)
 
 
 async def _lose_server(run: Run) -> None:
-    run.any_server().process.kill()
-    await anyio.sleep(_RECOVER_S)
+    run.pick_server().process.kill()
+    await anyio.sleep(_RECOVERY_S)
 
 
 async def _freeze_server(run: Run) -> None:
-    process = run.any_server().process
+    process = run.pick_server().process
     process.signal(signal.SIGSTOP)
-    await anyio.sleep(_RECOVER_S)
+    await anyio.sleep(_RECOVERY_S)
     process.signal(signal.SIGCONT)
     await anyio.sleep(_SETTLE_S)
 
 
 async def _lose_instance(run: Run) -> None:
-    (await run.any_entry(coordinator=False)).process.kill()
-    await anyio.sleep(_RECOVER_S)
+    (await run.pick_entry(coordinator=False)).process.kill()
+    await anyio.sleep(_RECOVERY_S)
 
 
 async def _freeze_instance(run: Run) -> None:
-    process = (await run.any_entry(coordinator=False)).process
+    process = (await run.pick_entry(coordinator=False)).process
     process.signal(signal.SIGSTOP)
-    await anyio.sleep(_RECOVER_S)
+    await anyio.sleep(_RECOVERY_S)
     process.signal(signal.SIGCONT)
     await anyio.sleep(_SETTLE_S)
 
 
 async def _lose_coordinator(run: Run) -> None:
-    (await run.any_entry(coordinator=True)).process.kill()
-    await anyio.sleep(_RECOVER_S)
+    (await run.pick_entry(coordinator=True)).process.kill()
+    await anyio.sleep(_RECOVERY_S)
 
 
-async def _outage(run: Run) -> None:
-    run.set_log(log_standin.LogFaults(outage=True))
+async def _interrupt_log(run: Run) -> None:
+    run.set_log_faults(log_standin.LogFaults(outage=True))
     await anyio.sleep(run.outage_s)
-    run.set_log(log_standin.LogFaults())
-    await anyio.sleep(_RECOVER_S)
+    run.set_log_faults(log_standin.LogFaults())
+    await anyio.sleep(_RECOVERY_S)
 
 
 async def _lose_server_in_outage(run: Run) -> None:
-    run.set_log(log_standin.LogFaults(outage=True))
+    run.set_log_faults(log_standin.LogFaults(outage=True))
     await anyio.sleep(_SETTLE_S)
-    run.any_server().process.kill()
+    run.pick_server().process.kill()
     await anyio.sleep(run.outage_s)
-    run.set_log(log_standin.LogFaults())
-    await anyio.sleep(_RECOVER_S)
+    run.set_log_faults(log_standin.LogFaults())
+    await anyio.sleep(_RECOVERY_S)
 
 
 async def _lose_instance_in_outage(run: Run) -> None:
-    entry = await run.any_entry(coordinator=False)
-    run.set_log(log_standin.LogFaults(outage=True))
+    entry = await run.pick_entry(coordinator=False)
+    run.set_log_faults(log_standin.LogFaults(outage=True))
     await anyio.sleep(_SETTLE_S)
     entry.process.kill()
     await anyio.sleep(run.outage_s)
-    run.set_log(log_standin.LogFaults())
-    await anyio.sleep(_RECOVER_S)
+    run.set_log_faults(log_standin.LogFaults())
+    await anyio.sleep(_RECOVERY_S)
 
 
-async def _lose_fifth(run: Run) -> None:
-    for number in run.randomness.sample(range(1, _SERVERS + 1), 2):
+async def _lose_fifth_of_servers(run: Run) -> None:
+    for number in run.random_source.sample(range(1, _SERVERS + 1), 2):
         run.server(number).process.kill()
-    await anyio.sleep(_RECOVER_S)
+    await anyio.sleep(_RECOVERY_S)
 
 
-async def _leave(run: Run) -> None:
-    server = run.any_server()
+async def _remove_server(run: Run) -> None:
+    server = run.pick_server()
     run.house.put_listing(
         membership.Listing(
             name=server.name,
@@ -185,24 +185,26 @@
             state=membership.ListedState.LEAVING,
         )
     )
-    await anyio.sleep(_RECOVER_S)
+    await anyio.sleep(_RECOVERY_S)
 
 
 async def _restart_instance(run: Run) -> None:
-    entry = await run.any_entry(coordinator=True)
+    entry = await run.pick_entry(coordinator=True)
     entry.process.terminate()
     await anyio.to_thread.run_sync(entry.process.wait)
     run.house.delete_listing(entry.name)
     run.house.start_entry("entry-new")
-    await anyio.sleep(_RECOVER_S)
+    await anyio.sleep(_RECOVERY_S)
 
 
-async def _heat_key(run: Run) -> None:
-    prober = probing.Prober(_probe(("key-0",), _HOT_RATE_PER_S), run.choose)
-    run.extra.append(prober)
-    if run.load is not None:
-        run.load.start_soon(prober.run)
-    await anyio.sleep(_HOT_S)
+async def _create_hot_key(run: Run) -> None:
+    prober = probing.Prober(
+        _make_probe_settings(("key-0",), _HOT_KEY_RATE_PER_S), run.choose_url
+    )
+    run.extra_probers.append(prober)
+    if run.load_tasks is not None:
+        run.load_tasks.start_soon(prober.run)
+    await anyio.sleep(_HOT_KEY_S)
 
 
 Scenario = Callable[[Run], Awaitable[None]]
@@ -210,22 +212,24 @@
 SCENARIOS: dict[str, Scenario] = {
     "server lost": _lose_server,
     "server frozen": _freeze_server,
-    "server leaves": _leave,
+    "server leaves": _remove_server,
     "instance lost": _lose_instance,
     "instance frozen": _freeze_instance,
     "coordinator lost": _lose_coordinator,
     "coordinator restarted": _restart_instance,
-    "log outage": _outage,
+    "log outage": _interrupt_log,
     "server lost in outage": _lose_server_in_outage,
     "instance lost in outage": _lose_instance_in_outage,
-    "a fifth of servers lost": _lose_fifth,
-    "hot key": _heat_key,
+    "a fifth of servers lost": _lose_fifth_of_servers,
+    "hot key": _create_hot_key,
 }
-"""The faults by name."""
+"""The scenarios by name."""
 
 
-def _probe(keys: tuple[str, ...], rate_per_s: float) -> probing.ProbeSettings:
-    """Returns how requests of the measured service are sent."""
+def _make_probe_settings(
+    keys: tuple[str, ...], rate_per_s: float
+) -> probing.ProbeSettings:
+    """Returns the settings of a prober of the measured service."""
     return probing.ProbeSettings(
         credential="demir-secret",
         service=_SERVICE,
@@ -236,36 +240,45 @@
     )
 
 
-async def _execute(name: str, run: Run, seed: int) -> Result:
+async def _run_scenario(name: str, run: Run, seed: int) -> Result:
     """Runs one scenario on a house that has just been started."""
     house = run.house
     await house_tools.bring_up(house)
     chooser = balancer.Balancer(
         {e.caller_url: e.admin_url for e in house.entries.values()}
     )
-    run.choose = chooser.choose
+    run.choose_url = chooser.choose
     keys = tuple(f"key-{i}" for i in range(_KEYS))
-    prober = probing.Prober(_probe(keys, _RATE_PER_S), chooser.choose)
+    prober = probing.Prober(
+        _make_probe_settings(keys, _RATE_PER_S), chooser.choose
+    )
     async with anyio.create_task_group() as tasks:
         await tasks.start(chooser.run)
         async with anyio.create_task_group() as load:
-            run.load = load
+            run.load_tasks = load
             load.start_soon(prober.run)
             await anyio.sleep(_SETTLE_S)
             before = await house_tools.read_cell(house, _SERVICE)
             began_s = time.monotonic()
             await SCENARIOS[name](run)
             ended_s = time.monotonic()
-            for each in (prober, *run.extra):
+            for each in (prober, *run.extra_probers):
                 each.stop()
         tasks.cancel_scope.cancel()
     after = await house_tools.read_cell(house, _SERVICE)
-    return _judge(
-        name, seed, house, [prober, *run.extra], before, after, began_s, ended_s
+    return _evaluate(
+        name,
+        seed,
+        house,
+        [prober, *run.extra_probers],
+        before,
+        after,
+        began_s,
+        ended_s,
     )
 
 
-def _judge(
+def _evaluate(
     name: str,
     seed: int,
     house: processes.House,
@@ -275,7 +288,7 @@
     began_s: float,
     ended_s: float,
 ) -> Result:
-    """Returns the figures of a run."""
+    """Returns the result of a run."""
     probes = sorted(
         (p for prober in probers for p in prober.probes),
         key=lambda probe: probe.sent_s,
@@ -287,16 +300,16 @@
         *checker.check_owners(journal),
         *checker.check_not_run(journal, not_run),
     ]
-    changed = [
+    changed_keys = [
         key
         for key in {p.key for p in probes}
         if _find_owner(before, key) != _find_owner(after, key)
     ]
-    tail_s = ended_s - 4.0
+    balance_from_s = ended_s - 4.0
     served = collections.Counter(
         entry.server
         for entry in checker.list_ran(journal)
-        if entry.service == _SERVICE and entry.ended_s > tail_s
+        if entry.service == _SERVICE and entry.ended_s > balance_from_s
     )
     live = {state.server for state in after.slices}
     failed = [
@@ -310,7 +323,7 @@
         longest_s=gaps[-1],
         failed=len(failed),
         sent=sum(1 for p in probes if p.sent_s >= began_s),
-        churn=len(changed) / _KEYS,
+        churn=len(changed_keys) / _KEYS,
         imbalance=max(served.values()) / (sum(served.values()) / len(live)),
         violations=len(violations),
     )
@@ -319,11 +332,11 @@
 def _find_gaps(
     probes: list[probing.Probe], began_s: float, ended_s: float
 ) -> dict[str, float]:
-    """Returns for each key its longest time without an answer.
+    """Returns the longest time without an answer of each key.
 
-    A gap runs from the sending of the first request that failed, or that
-    took long, to the first answer afterwards: 0 for a key whose every request
-    was answered in time.
+    A gap extends from the sending of the first request that failed, or that
+    took long, to the first answer after it. It is 0 for a key whose requests
+    were all answered in time.
     """
     longest: dict[str, float] = {}
     open_since: dict[str, float] = {}
@@ -347,7 +360,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs scenarios and prints a table."""
+    """Runs scenarios and prints a table of their results."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.faults")
     parser.add_argument("scenarios", nargs="*", metavar="SCENARIO")
     parser.add_argument("--seeds", type=int, default=1, metavar="COUNT")
@@ -384,7 +397,7 @@
     )
     with processes.House(shape) as house:
         run = Run(house, seed, options.outage_s)
-        return anyio.run(_execute, name, run, seed)
+        return anyio.run(_run_scenario, name, run, seed)
 
 
 _HEADER = (
@@ -394,7 +407,7 @@
 
 
 def _render(result: Result) -> str:
-    """Returns a result as a line of the table."""
+    """Returns the table row of a result."""
     return (
         f"{result.scenario:<26}{result.seed:>5}{result.median_s:>9.3f}"
         f"{result.p99_s:>8.3f}{result.longest_s:>8.3f}{result.failed:>8}"
--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -1,4 +1,8 @@
-"""Fold, look-up, plan and snapshot, over the number of slices."""
+"""Measures the control state by the number of slices.
+
+The benchmarks cover applying records, looking up owners, planning, and
+snapshots.
+"""
 
 import gc
 import tracemalloc
@@ -18,24 +22,24 @@
 
 SERVICE = ids.ServiceName("rapor")
 SIZES = ((78, 1_200), (260, 4_000), (780, 12_000), (780, 120_000))
-_LOOK_UPS = 20_000
+_LOOK_UP_COUNT = 20_000
 _PLANNED_SIZES = SIZES[:3]
 
 
-class _StillClock:
-    """A clock that stands still."""
+class _StoppedClock:
+    """A clock that always returns 0."""
 
     def wall_s(self) -> float:
-        """Returns always the same time."""
+        """Returns 0."""
         return 0.0
 
     def monotonic_s(self) -> float:
-        """Returns always the same time."""
+        """Returns 0."""
         return 0.0
 
 
 def run() -> list[rows.Row]:
-    """Measures every size."""
+    """Measures all sizes."""
     found: list[rows.Row] = []
     for servers, slices in SIZES:
         size = f"{servers} servers, {slices} slices"
@@ -49,27 +53,27 @@
     return found
 
 
-def list_records(servers: int, slices: int) -> list[log_service.StoredRecord]:
-    """Returns a claim and the assignment of all slices."""
+def make_records(servers: int, slices: int) -> list[log_service.StoredRecord]:
+    """Returns the records of a claim and of an assignment of all slices."""
     claim = records.Claim(
         SERVICE, ids.Term(-1), ids.InstanceId("entry-1"), slices
     )
     moves = tuple(
         records.ServerSlices(
-            _server(number),
+            _server_id(number),
             tuple(map(ids.SliceIndex, range(number, slices, servers))),
         )
         for number in range(servers)
     )
     fronts = tuple(
         records.ServerFront(
-            _server(n),
+            _server_id(n),
             ids.InstanceId(f"entry-{n % 11}"),
             (
                 ids.InstanceId(f"entry-{(n + 1) % 11}"),
                 ids.InstanceId(f"entry-{(n + 2) % 11}"),
             ),
-            _server((n + 1) % servers),
+            _server_id((n + 1) % servers),
         )
         for n in range(servers)
     )
@@ -85,15 +89,17 @@
         reason="first",
     )
     return [
-        _store(0, records.CLAIM_KIND, records.CLAIMS.encode(claim)),
-        _store(
+        _make_record(0, records.CLAIM_KIND, records.CLAIMS.encode(claim)),
+        _make_record(
             1, records.ASSIGNMENT_KIND, records.ASSIGNMENTS.encode(assignment)
         ),
     ]
 
 
-def _store(offset: int, kind: str, body: bytes) -> log_service.StoredRecord:
-    """Returns a record as the log keeps it."""
+def _make_record(
+    offset: int, kind: str, body: bytes
+) -> log_service.StoredRecord:
+    """Returns a record as stored by the log."""
     envelope = log_records.Envelope(
         f"r{offset}", kind, "entry-1", hybrid_clock.Timestamp(0, 0), body
     )
@@ -102,31 +108,31 @@
     )
 
 
-def _server(number: int) -> ids.ServerId:
-    """Returns the name of a server."""
+def _server_id(number: int) -> ids.ServerId:
+    """Returns the id of a server."""
     return ids.ServerId(f"rapor-{number}")
 
 
-def _new_state() -> control.ControlState:
+def _make_empty_state() -> control.ControlState:
     """Returns an empty state."""
-    clock = hybrid_clock.HybridClock(_StillClock())
+    clock = hybrid_clock.HybridClock(_StoppedClock())
     return control.ControlState(rings.Ring(rings.RingSettings("b"), clock))
 
 
 def _build_state(servers: int, slices: int) -> control.ControlState:
-    """Returns the state after all slices were assigned."""
-    state = _new_state()
-    for record in list_records(servers, slices):
+    """Returns the state after the assignment of all slices."""
+    state = _make_empty_state()
+    for record in make_records(servers, slices):
         state.apply(record)
     return state
 
 
 def _measure_fold(size: str, servers: int, slices: int) -> list[rows.Row]:
-    """Measures the whole assignment, one move, and the memory."""
-    stored = list_records(servers, slices)
+    """Measures the time to apply records, and the size of state and log."""
+    stored = make_records(servers, slices)
 
     def fold() -> None:
-        state = _new_state()
+        state = _make_empty_state()
         for record in stored:
             state.apply(record)
 
@@ -136,7 +142,7 @@
     state = _build_state(servers, slices)
     held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    move_s = rows.measure_cpu_s(lambda: _fold_moves(state, 200)) / 200
+    move_s = rows.measure_cpu_s(lambda: _apply_moves(state, 200)) / 200
     log_bytes = sum(len(record.data) for record in stored)
     return [
         rows.Row("fold", size, "fold all slices", whole_s * 1e3, "ms"),
@@ -147,8 +153,8 @@
     ]
 
 
-def _fold_moves(state: control.ControlState, count: int) -> None:
-    """Moves one slice to and fro."""
+def _apply_moves(state: control.ControlState, count: int) -> None:
+    """Applies records that move one slice back and forth."""
     cell = state.find_cell(SERVICE)
     for _ in range(count):
         offset = cell.head + 1
@@ -157,7 +163,9 @@
             term=cell.term,
             base=cell.head,
             moves=(
-                records.ServerSlices(_server(offset % 2), (ids.SliceIndex(0),)),
+                records.ServerSlices(
+                    _server_id(offset % 2), (ids.SliceIndex(0),)
+                ),
             ),
             fronts=(),
             settled=(),
@@ -166,13 +174,13 @@
             reason="",
         )
         body = records.ASSIGNMENTS.encode(move)
-        state.apply(_store(offset, records.ASSIGNMENT_KIND, body))
+        state.apply(_make_record(offset, records.ASSIGNMENT_KIND, body))
 
 
 def _measure_look_up(size: str, state: control.ControlState) -> list[rows.Row]:
-    """Measures key to slice to owner to front."""
+    """Measures the look-up from a key to the front of its owner."""
     cell = state.find_cell(SERVICE)
-    keys = [f"kopru-{number}" for number in range(_LOOK_UPS)]
+    keys = [f"kopru-{number}" for number in range(_LOOK_UP_COUNT)]
 
     def look_up() -> None:
         for key in keys:
@@ -180,20 +188,22 @@
             cell.fronts.get(cell.slices[index].server)
 
     spent_s = rows.measure_cpu_s(look_up)
-    value = spent_s * 1e6 / _LOOK_UPS
+    value = spent_s * 1e6 / _LOOK_UP_COUNT
     return [rows.Row("look-up", size, "key to front", value, "us")]
 
 
 def _measure_snapshot(size: str, state: control.ControlState) -> list[rows.Row]:
-    """Measures making, cutting and restoring a snapshot."""
+    """Measures the creation, splitting and restoring of a snapshot."""
     whole = state.to_snapshot()
     chunks = snapshots.split_snapshot(whole, "s")
     made_s = rows.measure_cpu_s(
         lambda: snapshots.split_snapshot(state.to_snapshot(), "s")
     )
     cell = state.find_cell(SERVICE)
-    kept = cell.to_snapshot()
-    restored_s = rows.measure_cpu_s(lambda: cells.Cell(SERVICE).restore(kept))
+    cell_snapshot = cell.to_snapshot()
+    restored_s = rows.measure_cpu_s(
+        lambda: cells.Cell(SERVICE).restore(cell_snapshot)
+    )
     return [
         rows.Row("snapshot", size, "bytes", len(whole.data), "bytes"),
         rows.Row("snapshot", size, "records", len(chunks), ""),
@@ -205,13 +215,17 @@
 def _measure_plan(
     size: str, state: control.ControlState, servers: int
 ) -> list[rows.Row]:
-    """Measures a plan without change and one after a domain's loss."""
+    """Measures a plan without changes, and one after the loss of a domain.
+
+    The domain contains one in 7 servers.
+    """
     cell = state.find_cell(SERVICE)
     usable = dict.fromkeys(
-        (_server(n) for n in range(servers)), planner.Eligibility.USABLE
+        (_server_id(n) for n in range(servers)), planner.Eligibility.USABLE
     )
     lost = usable | dict.fromkeys(
-        (_server(n) for n in range(0, servers, 7)), planner.Eligibility.UNUSABLE
+        (_server_id(n) for n in range(0, servers, 7)),
+        planner.Eligibility.UNUSABLE,
     )
     view = planner.PlannerView(
         cell=cell,
--- a/benchmarks/layer_server.py
+++ b/benchmarks/layer_server.py
@@ -1,4 +1,4 @@
-"""A small server in a process of its own, to be measured from outside."""
+"""Runs a minimal server, which ``benchmarks.layers`` measures from outside."""
 
 import pathlib
 import sys
@@ -22,7 +22,7 @@
 
 
 async def _answer_two_bytes(scope: Any, receive: Any, send: Any) -> None:
-    """The smallest ASGI application."""
+    """Answers with two bytes; a minimal ASGI application."""
     if scope["type"] != "http":
         return
     headers = [(b"content-length", b"2")]
@@ -32,15 +32,15 @@
     await send({"type": "http.response.body", "body": b"ok"})
 
 
-class _FixedBackend:
-    """Answers every request at once, as an instance would."""
+class _StubInstance:
+    """An instance that answers every request at once."""
 
     def __init__(self) -> None:
         text = _SETTINGS.read_text(encoding="utf-8")
         self._house = check.check_text(text, str(_SETTINGS))
 
     def list_not_ready(self) -> list[str]:
-        """Is always ready."""
+        """Returns nothing, as the instance is always ready."""
         return []
 
     def find_house(self) -> tree.House:
@@ -52,22 +52,22 @@
         return self._house.places["anadolu"]
 
     async def handle(self, request: requests.Request) -> outcomes.Outcome:
-        """Answers two bytes."""
+        """Answers with two bytes."""
         return outcomes.Answered(200, (), b"ok")
 
     def begin_request(self) -> None:
-        """Counts nothing."""
+        """Does nothing."""
 
     def end_request(self) -> None:
-        """Counts nothing."""
+        """Does nothing."""
 
     def is_leaving(self) -> bool:
-        """Never stops."""
+        """Returns False, as the instance never shuts down."""
         return False
 
 
-class _FixedPeer:
-    """A peer that answers drains, and nothing else."""
+class _StubPeer:
+    """A peer that only answers drain requests."""
 
     async def drain(
         self, request: peer_protocol.DrainRequest
@@ -76,22 +76,22 @@
         return peer_protocol.DrainReply(0)
 
     def __getattr__(self, name: str) -> Any:
-        """Stands in for the methods that are not measured."""
+        """Provides the other methods, which are not called."""
         return self.drain
 
 
 async def _run(kind: str, port: int) -> None:
-    """Serves until the process is killed."""
+    """Runs the server until the process is killed."""
     address = f"127.0.0.1:{port}"
     if kind == "grpc":
         clock = hybrid_clock.HybridClock(clocks.SystemClock())
-        peer: Any = _FixedPeer()
+        peer: Any = _StubPeer()
         await peer_server.PeerServer(address, peer, clock).start()
         await anyio.sleep_forever()
     app: Any = _answer_two_bytes
     if kind == "caller-api":
         app = _caller_api.CallerApp(
-            _FixedBackend(), _metrics.Metrics(), clocks.SystemClock()
+            _StubInstance(), _metrics.Metrics(), clocks.SystemClock()
         )
     await serving.serve(address, app, anyio.Event())
 
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -1,4 +1,4 @@
-"""Processor time of one request by library layer, in the measured process."""
+"""Measures the processor time of a request in each library layer."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -24,9 +24,9 @@
 from bridgecross_standins import processes
 
 _CALLS = 600
-_WARM_UP = 60
+_WARM_UP_CALLS = 60
 _CONCURRENCY = (1, 8, 32)
-_START_S = 1.5
+_STARTUP_S = 1.5
 _FOLDER = pathlib.Path("out/bench")
 _SHAPE = processes.HouseShape(
     settings_file=pathlib.Path("settings/karatas.jsonc"),
@@ -42,7 +42,7 @@
 
 
 def run() -> list[rows.Row]:
-    """Measures the layers alone, then a whole house."""
+    """Measures the layers separately, then a whole house."""
     found = anyio.run(_measure_clients)
     found += anyio.run(_measure_servers)
     with processes.House(_SHAPE) as house:
@@ -51,21 +51,21 @@
 
 
 @contextlib.contextmanager
-def _serve(kind: str, port: int) -> Iterator[psutil.Process]:
-    """Runs a small server in a process of its own."""
+def _serve_in_subprocess(kind: str, port: int) -> Iterator[psutil.Process]:
+    """Runs a minimal server in a process of its own."""
     process = subprocess.Popen(
         [sys.executable, "-m", "benchmarks.layer_server", kind, str(port)]
     )
     try:
-        time.sleep(_START_S)
+        time.sleep(_STARTUP_S)
         yield psutil.Process(process.pid)
     finally:
         process.kill()
         process.wait()
 
 
-async def _repeat(call: Call, calls: int, concurrency: int) -> None:
-    """Makes calls, several at a time."""
+async def _call_repeatedly(call: Call, calls: int, concurrency: int) -> None:
+    """Makes calls with the given concurrency."""
     left = iter(range(calls))
 
     async def work() -> None:
@@ -78,7 +78,7 @@
 
 
 def _cpu_s(process: psutil.Process) -> float:
-    """Returns the processor time that a process has spent."""
+    """Returns the processor time that a process has used."""
     times = process.cpu_times()
     return float(times.user + times.system)
 
@@ -98,15 +98,15 @@
 
 
 async def _measure_clients() -> list[rows.Row]:
-    """Measures this process while it calls a server elsewhere."""
+    """Measures the clients: this process, while it calls other processes."""
     found = []
     port = processes.find_free_port()
-    with _serve("http", port):
+    with _serve_in_subprocess("http", port):
         async with _open_clients(port) as clients:
             for name, call in clients.items():
                 found += await _measure_caller(name, call)
     port = processes.find_free_port()
-    with _serve("grpc", port):
+    with _serve_in_subprocess("grpc", port):
         client = peer_client.PeerClient(
             hybrid_clock.HybridClock(clocks.SystemClock())
         )
@@ -125,12 +125,12 @@
 
 
 async def _measure_caller(name: str, call: Call) -> list[rows.Row]:
-    """Measures the caller's side of one kind of call."""
+    """Measures one client at each concurrency."""
     found = []
     for concurrency in _CONCURRENCY:
-        await _repeat(call, _WARM_UP, concurrency)
+        await _call_repeatedly(call, _WARM_UP_CALLS, concurrency)
         started_s = time.process_time()
-        await _repeat(call, _CALLS, concurrency)
+        await _call_repeatedly(call, _CALLS, concurrency)
         spent_ms = (time.process_time() - started_s) * 1_000 / _CALLS
         size = f"{concurrency} at a time"
         found.append(rows.Row("layer", size, name, spent_ms, "ms a call"))
@@ -138,11 +138,11 @@
 
 
 async def _measure_servers() -> list[rows.Row]:
-    """Measures servers elsewhere while this process calls them."""
+    """Measures the servers: other processes, while this one calls them."""
     found = []
     for kind in ("http", "caller-api"):
         port = processes.find_free_port()
-        with _serve(kind, port) as server:
+        with _serve_in_subprocess(kind, port) as server:
             async with httpcore.AsyncConnectionPool() as pool:
 
                 async def call(
@@ -155,9 +155,9 @@
                     )
 
                 for concurrency in _CONCURRENCY:
-                    await _repeat(call, _WARM_UP, concurrency)
+                    await _call_repeatedly(call, _WARM_UP_CALLS, concurrency)
                     before_s = _cpu_s(server)
-                    await _repeat(call, _CALLS, concurrency)
+                    await _call_repeatedly(call, _CALLS, concurrency)
                     spent_ms = (_cpu_s(server) - before_s) * 1_000 / _CALLS
                     found.append(
                         rows.Row(
@@ -172,24 +172,24 @@
 
 
 async def _measure_house(house: processes.House) -> list[rows.Row]:
-    """Measures both instances of a house: at rest, and by request."""
+    """Measures both instances of a house, idle and under requests."""
     await house_tools.bring_up(house)
     await anyio.sleep(3.0)
     instances = {
         name: psutil.Process(entry.process.pid)
         for name, entry in house.entries.items()
     }
-    found = await _measure_rest(house, instances)
+    found = await _measure_idle(house, instances)
     entry = next(iter(house.entries.values()))
     for concurrency in _CONCURRENCY:
-        found += await _measure_path(entry, instances, concurrency)
+        found += await _measure_request_path(entry, instances, concurrency)
     return found
 
 
-async def _measure_rest(
+async def _measure_idle(
     house: processes.House, instances: dict[str, psutil.Process]
 ) -> list[rows.Row]:
-    """Measures processor and memory of instances that serve nothing."""
+    """Measures processor time and memory of instances without requests."""
     before = {name: _cpu_s(process) for name, process in instances.items()}
     seconds = 10.0
     await anyio.sleep(seconds)
@@ -206,12 +206,12 @@
     return found
 
 
-async def _measure_path(
+async def _measure_request_path(
     entry: processes.Entry,
     instances: dict[str, psutil.Process],
     concurrency: int,
 ) -> list[rows.Row]:
-    """Measures whole requests: half of them take the hop to the front."""
+    """Measures whole requests, half of which are forwarded to the front."""
     numbers = iter(range(1_000_000))
     async with httpcore.AsyncConnectionPool() as pool:
 
@@ -222,10 +222,10 @@
                 headers={"Authorization": "Bearer demir-secret"},
             )
 
-        await _repeat(call, _WARM_UP, concurrency)
+        await _call_repeatedly(call, _WARM_UP_CALLS, concurrency)
         before = {name: _cpu_s(process) for name, process in instances.items()}
         started_s = time.monotonic()
-        await _repeat(call, _CALLS, concurrency)
+        await _call_repeatedly(call, _CALLS, concurrency)
         rate = _CALLS / (time.monotonic() - started_s)
         spent_s = sum(_cpu_s(p) - before[n] for n, p in instances.items())
     size = f"{concurrency} at a time"
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,11 +1,12 @@
-"""What each decision under load is worth, in virtual time.
+"""Measures how much each overload policy is worth, in virtual time.
 
     python -m benchmarks.load [--seeds N] [--jobs N] [--loads NAME ...]
 
-Plays houses of different kinds through a return of all instances, a burst and
-a calm spell, once as the settings are and once with each decision switched
-off, and prints the part of the worth that was earned as a table: the mean over
-the seeds, and in brackets the largest distance from it.
+Simulates different kinds of houses under several loads: an outage of all
+instances and their return, a burst, and a calm period. Each is simulated with
+the default settings and with each policy disabled. Prints a table of the
+achieved share of the attainable value: the mean over the seeds and, in
+parentheses, the largest deviation from it.
 """
 
 import argparse
@@ -20,73 +21,87 @@
 from tests.load import loads
 from tests.load import scene
 
-_FAR_MORE = 1_000
+_UNLIMITED = 1_000
 
-SWITCHED_OFF: dict[str, tuple[dict[str, object], dict[str, object]]] = {
+VARIANTS: dict[str, tuple[dict[str, object], dict[str, object]]] = {
     "as it is": ({}, {}),
-    "late requests take any slot": ({"late_room_ratio": _FAR_MORE}, {}),
-    "no queue a service": ({"extra_room_count": _FAR_MORE}, {}),
+    "late requests take any slot": ({"late_room_ratio": _UNLIMITED}, {}),
+    "no queue a service": ({"extra_room_count": _UNLIMITED}, {}),
     "three requests at an owner": ({"min_room_count": 3}, {}),
     "every attempt is a first one": (
         {},
         {"caller_ages": caller_age.CallerAgeSettings(cluster_min_ratio=2.0)},
     ),
 }
-"""Fields of the settings of servers and of the dispatcher, by what is off."""
+"""The fields of ``ServerSettings`` and of ``DispatchSettings`` that a variant
+changes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class House:
-    """Servers and callers of one kind of house."""
+    """The servers and callers of one kind of house."""
 
     servers: tuple[scene.ServerKind, ...]
     callers: tuple[scene.CallerKind, ...]
     instance_count: int
 
 
-def _house(
+def _make_house(
     kinds: tuple[scene.CallerKind, ...],
     instance_count: int,
     slots: int,
     on_full: str,
 ) -> House:
     """Returns a house whose servers are as busy as on a day of high load."""
-    listed = tuple(
+    server_kinds = tuple(
         dataclasses.replace(kind, slots=slots, on_full=on_full)
         for kind in (loads.CATALOGUE, loads.BIDHOUSE, loads.TALLY)
     )
-    return House(listed, kinds, instance_count)
+    return House(server_kinds, kinds, instance_count)
 
 
-def _callers(
-    ratio: float, target: float, patience: float, late_worth: float
+def _make_callers(
+    rate_ratio: float,
+    target_ratio: float,
+    patience_ratio: float,
+    late_value_ratio: float,
 ) -> tuple[scene.CallerKind, ...]:
-    """Returns callers with other rates, times and worths."""
+    """Returns callers with other rates, times and values of late answers.
+
+    Args:
+        rate_ratio: The factor of the request rate.
+        target_ratio: The factor of the target latency.
+        patience_ratio: The factor of the patience and of the timeout.
+        late_value_ratio: The value of a late answer as a share of the value
+            in time.
+    """
     return tuple(
         dataclasses.replace(
             kind,
-            rate_per_s=kind.rate_per_s * ratio,
-            target_s=kind.target_s * target,
-            patience_s=kind.patience_s * patience,
-            timeout_s=kind.timeout_s * patience,
-            late_worth=kind.worth * late_worth,
+            rate_per_s=kind.rate_per_s * rate_ratio,
+            target_s=kind.target_s * target_ratio,
+            patience_s=kind.patience_s * patience_ratio,
+            timeout_s=kind.timeout_s * patience_ratio,
+            late_worth=kind.worth * late_value_ratio,
         )
         for kind in (loads.READ, loads.BID, loads.SETTLE)
     )
 
 
 HOUSES = {
-    # Late answers are worth little, callers wait for six times their target.
-    "patient callers, silent servers": _house(
-        _callers(1.4, 1.0, 1.0, 0.3), 12, 6, "silent"
+    # Late answers have little value; callers wait six times their target
+    # latency.
+    "patient callers, silent servers": _make_house(
+        _make_callers(1.4, 1.0, 1.0, 0.3), 12, 6, "silent"
     ),
-    # Late answers are worth half, callers wait for 2.5 times their target.
-    "impatient callers, shedding servers": _house(
-        _callers(0.9, 1.0, 0.4, 0.5), 11, 4, "shed"
+    # Late answers have half the value; callers wait 2.5 times their target
+    # latency.
+    "impatient callers, shedding servers": _make_house(
+        _make_callers(0.9, 1.0, 0.4, 0.5), 11, 4, "shed"
     ),
-    # Late answers are worth next to nothing.
-    "impatient callers, resetting servers": _house(
-        _callers(1.4, 1.0, 0.4, 0.1), 8, 6, "reset"
+    # Late answers have almost no value.
+    "impatient callers, resetting servers": _make_house(
+        _make_callers(1.4, 1.0, 0.4, 0.1), 8, 6, "reset"
     ),
 }
 
@@ -97,25 +112,27 @@
 }
 
 
-def _play(job: tuple[str, str, str, int]) -> float:
-    """Returns the part of the worth that one run earns."""
-    house_name, load_name, off, seed = job
+def _run(job: tuple[str, str, str, int]) -> float:
+    """Simulates one run; returns the achieved share of the attainable value."""
+    house_name, load_name, variant, seed = job
     house = HOUSES[house_name]
-    judging, trying = SWITCHED_OFF[off]
+    server_changes, dispatch_changes = VARIANTS[variant]
     load = scene.Load(
         house.servers,
         house.callers,
         instance_count=house.instance_count,
         seed=seed,
-        judging=dataclasses.replace(servers.ServerSettings(), **judging),
-        trying=dataclasses.replace(dispatch.DispatchSettings(), **trying),
+        judging=dataclasses.replace(servers.ServerSettings(), **server_changes),
+        trying=dataclasses.replace(
+            dispatch.DispatchSettings(), **dispatch_changes
+        ),
         **LOADS[load_name],
     )
     return scene.play(load).total.ratio
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Prints the table."""
+    """Runs all simulations and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=4)
@@ -123,27 +140,27 @@
     options = parser.parse_args(arguments)
     columns = [(house, load) for house in HOUSES for load in options.loads]
     jobs = [
-        (house, load, off, seed)
-        for off in SWITCHED_OFF
+        (house, load, variant, seed)
+        for variant in VARIANTS
         for house, load in columns
         for seed in range(1, options.seeds + 1)
     ]
     with concurrent.futures.ProcessPoolExecutor(options.jobs) as pool:
-        ratios = dict(zip(jobs, pool.map(_play, jobs), strict=True))
-    heads = [f"{house}: {load}" for house, load in columns]
-    print("| off | " + " | ".join(heads) + " |")
-    print("| --- " * (len(heads) + 1) + "|")
-    for off in SWITCHED_OFF:
+        ratios = dict(zip(jobs, pool.map(_run, jobs), strict=True))
+    headings = [f"{house}: {load}" for house, load in columns]
+    print("| off | " + " | ".join(headings) + " |")
+    print("| --- " * (len(headings) + 1) + "|")
+    for variant in VARIANTS:
         cells = []
         for house, load in columns:
-            found = [
-                ratios[house, load, off, seed]
+            ratios_by_seed = [
+                ratios[house, load, variant, seed]
                 for seed in range(1, options.seeds + 1)
             ]
-            mean = statistics.fmean(found)
-            spread = max(abs(each - mean) for each in found)
+            mean = statistics.fmean(ratios_by_seed)
+            spread = max(abs(each - mean) for each in ratios_by_seed)
             cells.append(f"{mean:.3f} ({spread:.3f})")
-        print(f"| {off} | " + " | ".join(cells) + " |")
+        print(f"| {variant} | " + " | ".join(cells) + " |")
     return 0
 
 
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -1,7 +1,8 @@
-"""What it costs to remember which requests servers end under.
+"""Measures the cost of detecting requests that crash servers.
 
-In the path of each request, and when one server ends: the messages, bytes and
-time until all instances know, over links of half a millisecond in virtual time.
+The benchmarks measure the processor time in the path of each request. For a
+crash of a server they measure the messages, bytes and time until all instances
+know about it, over links of half a millisecond in virtual time.
 """
 
 import math
@@ -17,27 +18,27 @@
 from bridgecross_entry import poison_broadcast
 from bridgecross_request import poison_requests
 
-_SIZES_COUNT = (11, 74, 195, 780)
-_REQUESTS_COUNT = 20_000
+_INSTANCE_COUNTS = (11, 74, 195, 780)
+_REQUEST_COUNT = 20_000
 _BODY = b"x" * 1_000
 
 
 def run() -> list[rows.Row]:
-    """Returns the figures of the path, then those of an end by size."""
+    """Measures the request path, then crashes by the number of instances."""
     found = [_measure_path()]
-    for count in _SIZES_COUNT:
-        found += _measure_end(count)
+    for count in _INSTANCE_COUNTS:
+        found += _measure_crash(count)
     return found
 
 
 def _measure_path() -> rows.Row:
-    """Returns what a request costs that is answered at once."""
+    """Measures the processor time for a request that is answered at once."""
     ledger = poison_requests.PoisonLedger(
         poison_requests.PoisonSettings(), clocks.SystemClock()
     )
 
     def serve() -> None:
-        for number in range(_REQUESTS_COUNT):
+        for number in range(_REQUEST_COUNT):
             subject = poison_requests.compute_fingerprint(
                 "house", b"GET", b"/a/%d" % number, _BODY
             )
@@ -50,13 +51,13 @@
         "poison",
         "a request of 1 KB",
         "processor time",
-        cpu_s / _REQUESTS_COUNT * 1e6,
+        cpu_s / _REQUEST_COUNT * 1e6,
         "us",
     )
 
 
-def _measure_end(count: int) -> list[rows.Row]:
-    """Returns what it takes until all instances know of an end."""
+def _measure_crash(count: int) -> list[rows.Row]:
+    """Measures what it takes until all instances know about a crash."""
     environment = simpy.Environment()
 
     async def main() -> list[rows.Row]:
@@ -64,15 +65,15 @@
             settings = houses.HouseSettings(instance_count=count)
             house = houses.House(settings, environment, tasks)
             await house.start(6.0)
-            found = await _end_server(house, count)
+            found = await _crash_servers(house, count)
             house.stop()
         return found
 
     return virtual.run(environment, main)
 
 
-async def _end_server(house: houses.House, count: int) -> list[rows.Row]:
-    """Lets a server end under a request, as one instance sees it."""
+async def _crash_servers(house: houses.House, count: int) -> list[rows.Row]:
+    """Records three crashes of servers, each on one instance."""
     subject = poison_requests.compute_fingerprint("h", b"GET", b"/deadly", b"")
     network = house.network
     found = []
@@ -96,7 +97,7 @@
 async def _wait_until_known(
     house: houses.House, subject: poison_requests.Fingerprint, number: int
 ) -> float:
-    """Waits until words are over; returns when all knew of an end."""
+    """Waits until the broadcast is over; returns when all knew of the crash."""
     known_s = math.nan
     until_s = house.now_s + 0.25
     while house.now_s < until_s:
@@ -112,7 +113,7 @@
 def _make_rows(
     size: str, network: networks.Network, took_s: float
 ) -> list[rows.Row]:
-    """Returns what an end cost."""
+    """Returns the rows of one crash."""
     path = poison_broadcast.PATH.decode()
     count = network.carried_count[path]
     size_kb = network.carried_bytes[path] / 1e3
--- a/benchmarks/poison_ways.py
+++ b/benchmarks/poison_fingerprints.py
@@ -1,7 +1,8 @@
-"""What a request that ends servers is known by, way against way.
+"""Compares ways to compute the fingerprint of requests that crash servers.
 
-Callers of whom none comes more than twice ask for a request that ends servers,
-beside harmless ones of the same target with another body and of other targets.
+Many callers, each at most twice, send a request that crashes servers. They also
+send harmless requests: to the same target with another body, and to other
+targets.
 """
 
 from collections.abc import Callable
@@ -18,7 +19,7 @@
 from bridgecross_request import poison_requests
 from tests.emulated import crash_scene
 
-SIZES_COUNT = (11, 74, 195)
+INSTANCE_COUNTS = (11, 74, 195)
 _LENGTH_S = 12.0
 _KNOWN_WITHIN_S = 0.3
 _ENDS_MAX_COUNT = 3
@@ -26,10 +27,12 @@
 _TARGET = f"/{instances.FREE_SERVICE}/deadly".encode()
 _REFUSED = "servers ended while they ran it"
 
-Name = Callable[[attempts.EntryRequest], poison_requests.Fingerprint]
+FingerprintFunction = Callable[
+    [attempts.EntryRequest], poison_requests.Fingerprint
+]
 
 
-def _with_address(
+def _name_by_address_and_request(
     request: attempts.EntryRequest,
 ) -> poison_requests.Fingerprint:
     host = f"{request.caller} {request.host}"
@@ -38,7 +41,7 @@
     )
 
 
-def _without_body(
+def _name_by_target(
     request: attempts.EntryRequest,
 ) -> poison_requests.Fingerprint:
     return poison_requests.compute_fingerprint(
@@ -46,53 +49,57 @@
     )
 
 
-def _by_host(request: attempts.EntryRequest) -> poison_requests.Fingerprint:
+def _name_by_host(
+    request: attempts.EntryRequest,
+) -> poison_requests.Fingerprint:
     return poison_requests.compute_fingerprint(request.host, b"", b"", b"")
 
 
-class Way(NamedTuple):
-    """One way to name requests."""
+class Variant(NamedTuple):
+    """One way to compute the fingerprint of a request."""
 
     name: str
-    # None for the way that is in use.
-    subject: Name | None
+    # None for the function that ``dispatch`` uses.
+    compute_fingerprint: FingerprintFunction | None
 
 
-WAYS = (
-    Way("address, host and request", _with_address),
-    Way("host and request", None),
-    Way("host and target", _without_body),
-    Way("host", _by_host),
+VARIANTS = (
+    Variant("address, host and request", _name_by_address_and_request),
+    Variant("host and request", None),
+    Variant("host and target", _name_by_target),
+    Variant("host", _name_by_host),
 )
 
 
 def run() -> list[rows.Row]:
-    """Returns the figures of each way, by size."""
-    return [row for count in SIZES_COUNT for row in measure(count)]
+    """Measures each variant at each number of instances."""
+    return [row for count in INSTANCE_COUNTS for row in measure(count)]
 
 
 def measure(count: int) -> list[rows.Row]:
-    """Returns the figures of each way in a house of a size."""
+    """Measures each variant in a house with the given number of instances."""
     found = []
-    for way in WAYS:
-        size = f"{way.name}, {count} instances"
-        found += _measure_way(way, size, count)
+    for variant in VARIANTS:
+        size = f"{variant.name}, {count} instances"
+        found += _measure_variant(variant, size, count)
     return found
 
 
-def _measure_way(way: Way, size: str, count: int) -> list[rows.Row]:
-    """Returns the figures of one way."""
+def _measure_variant(variant: Variant, size: str, count: int) -> list[rows.Row]:
+    """Measures one variant."""
     play = crash_scene.Play(
         instances.FREE_SERVICE, instance_count=count, server_count=12
     )
-    if way.subject is None:
-        return _make_rows(play.run(_act), size)
-    with mock.patch.object(dispatch, "_compute_fingerprint", way.subject):
-        return _make_rows(play.run(_act), size)
+    if variant.compute_fingerprint is None:
+        return _make_rows(play.run(_run_callers), size)
+    with mock.patch.object(
+        dispatch, "_compute_fingerprint", variant.compute_fingerprint
+    ):
+        return _make_rows(play.run(_run_callers), size)
 
 
-async def _act(scene: crash_scene.Scene) -> None:
-    """Lets callers come for a while."""
+async def _run_callers(scene: crash_scene.Scene) -> None:
+    """Runs the callers for ``_LENGTH_S`` seconds."""
     fleet = scene.house.fleet
     fleet.deadly.add(_TARGET)
     fleet.harmless_bodies.add(_HARMLESS_BODY)
@@ -108,12 +115,12 @@
 
 
 def _make_rows(scene: crash_scene.Scene, size: str) -> list[rows.Row]:
-    """Returns what came of a scene."""
+    """Returns the rows of one simulation."""
     ends_s = scene.end_times_s(_TARGET)
     late_from_s = float("inf")
     if len(ends_s) >= _ENDS_MAX_COUNT:
         late_from_s = ends_s[_ENDS_MAX_COUNT - 1] + _KNOWN_WITHIN_S
-    late = [
+    sent_too_late = [
         run
         for run in scene.house.fleet.runs
         if run.is_deadly and run.at_s > late_from_s
@@ -125,14 +132,14 @@
         and getattr(told.outcome, "reason", "") == _REFUSED
     ]
     path = poison_broadcast.PATH.decode()
-    told_kb = scene.house.network.carried_bytes[path] / 1e3
+    broadcast_kb = scene.house.network.carried_bytes[path] / 1e3
     ledgers = [each.parts.watch.ledger for each in scene.house.instances]
-    suspects = max(len(each.known_subjects()) for each in ledgers)
+    suspects = max(len(each.list_known()) for each in ledgers)
     figures = (
         ("servers ended", len(ends_s), ""),
-        ("sends too late", len(late), ""),
+        ("sends too late", len(sent_too_late), ""),
         ("innocent requests refused", len(refused), ""),
         ("suspects remembered, at most", suspects, ""),
-        ("bodies told", told_kb, "KB"),
+        ("bodies told", broadcast_kb, "KB"),
     )
     return [rows.Row("poison", size, *figure) for figure in figures]
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -1,11 +1,11 @@
-"""A measured figure, and how to print it."""
+"""The rows of benchmark results."""
 
 from collections.abc import Callable
 import statistics
 import time
 from typing import NamedTuple
 
-_REPEATS = 5
+_RUN_COUNT = 5
 
 
 class Row(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 def render(rows: list[Row]) -> str:
-    """Returns rows as an aligned table."""
+    """Returns the rows as an aligned table."""
     return "\n".join(
         f"{row.benchmark:<10} {row.size:<28} {row.figure:<34} "
         f"{row.value:>12,.3f} {row.unit}"
@@ -28,9 +28,9 @@
 
 
 def measure_cpu_s(action: Callable[[], object]) -> float:
-    """Returns the median processor time of an action, in seconds."""
+    """Returns the median processor time of several runs of an action."""
     times = []
-    for _ in range(_REPEATS):
+    for _ in range(_RUN_COUNT):
         started_s = time.process_time()
         action()
         times.append(time.process_time() - started_s)
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -1,4 +1,4 @@
-"""Bytes on the wire of the messages that are sent again and again."""
+"""Measures the size on the wire of messages that are sent periodically."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -28,46 +28,46 @@
 _EXCHANGES = 50
 _GRANTS = (5, 15, 60, 240)
 _SERVERS = (4, 16, 72)
-_START_S = 0.5
+_STARTUP_S = 0.5
 
 
-class _Relay:
-    """Passes bytes on to a port of loopback and counts them."""
+class _CountingRelay:
+    """Forwards connections to a port on loopback and counts the bytes."""
 
     def __init__(self, target_port: int) -> None:
         self.port = processes.find_free_port()
-        self.count = 0
+        self.byte_count = 0
         self._target_port = target_port
 
     async def run(self) -> None:
-        """Relays until it is cancelled."""
+        """Accepts and relays connections until it is cancelled."""
         listener = await anyio.create_tcp_listener(
             local_host="127.0.0.1", local_port=self.port
         )
         await listener.serve(self._serve)
 
     async def _serve(self, client: anyio.abc.SocketStream) -> None:
-        """Relays one connection, both ways."""
+        """Relays one connection in both directions."""
         server = await anyio.connect_tcp("127.0.0.1", self._target_port)
         async with server, client, anyio.create_task_group() as tasks:
-            tasks.start_soon(self._pass_on, client, server)
-            tasks.start_soon(self._pass_on, server, client)
+            tasks.start_soon(self._forward, client, server)
+            tasks.start_soon(self._forward, server, client)
 
-    async def _pass_on(
+    async def _forward(
         self, source: anyio.abc.SocketStream, sink: anyio.abc.SocketStream
     ) -> None:
-        """Relays one direction."""
+        """Relays one direction of a connection."""
         try:
             async for data in source:
-                self.count += len(data)
+                self.byte_count += len(data)
                 await sink.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
 
 
 @contextlib.asynccontextmanager
-async def _serve_through(
-    relay: _Relay, port: int, app: Any
+async def _serve_behind_relay(
+    relay: _CountingRelay, port: int, app: Any
 ) -> AsyncIterator[None]:
     """Serves an application behind a relay while the context is open."""
     stop = anyio.Event()
@@ -75,14 +75,14 @@
         servers.start_soon(serving.serve, f"127.0.0.1:{port}", app, stop)
         async with anyio.create_task_group() as relays:
             relays.start_soon(relay.run)
-            await anyio.sleep(_START_S)
+            await anyio.sleep(_STARTUP_S)
             yield
             relays.cancel_scope.cancel()
         stop.set()
 
 
 def run() -> list[rows.Row]:
-    """Measures leases, polls of the log, and heartbeats."""
+    """Measures lease renewals, polls of the log, and heartbeats."""
     return [
         *anyio.run(_measure_leases),
         *anyio.run(_measure_polls),
@@ -95,23 +95,23 @@
     port = processes.find_free_port()
     settings = backend_standin.BackendStandinSettings("rapor-1")
     app = backend_standin.BackendStandin(settings).build_app()
-    relay = _Relay(port)
+    relay = _CountingRelay(port)
     members = membership.Membership()
-    members.replace([_list_server(relay.port)])
+    members.replace([_make_listing(relay.port)])
     transport = _platform.HttpLeaseTransport(_platform.Addresses(members))
     found = []
-    async with _serve_through(relay, port, app):
+    async with _serve_behind_relay(relay, port, app):
         for number, grants in enumerate(_GRANTS):
             size = f"{grants} grants"
-            before = relay.count
+            before = relay.byte_count
             echo = None
             for sequence in range(_EXCHANGES):
-                request = _build_lease(number, sequence, echo, grants)
+                request = _make_lease_request(number, sequence, echo, grants)
                 reply = await transport.exchange(
                     ids.ServerId("rapor-1"), request
                 )
                 echo = reply.clock
-            value = (relay.count - before) / _EXCHANGES
+            value = (relay.byte_count - before) / _EXCHANGES
             found.append(
                 rows.Row("wire", size, "lease renewal, both ways", value, "B")
             )
@@ -119,10 +119,10 @@
     return found
 
 
-def _build_lease(
+def _make_lease_request(
     token: int, sequence: int, echo: leases.ClockEcho | None, grants: int
 ) -> leases.LeaseRequest:
-    """Returns a lease request with as many grants as wanted."""
+    """Returns a lease request with the given number of grants."""
     return leases.LeaseRequest(
         service=ids.ServiceName("rapor"),
         front=ids.InstanceId("entry-1"),
@@ -137,7 +137,7 @@
     )
 
 
-def _list_server(port: int) -> membership.Listing:
+def _make_listing(port: int) -> membership.Listing:
     """Returns the listing of the measured server."""
     return membership.Listing(
         name="rapor-1",
@@ -150,58 +150,58 @@
 
 
 async def _measure_polls() -> list[rows.Row]:
-    """Measures a read of the log that finds nothing new."""
+    """Measures a read of the log that returns no records."""
     port = processes.find_free_port()
     log = log_standin.LogStandin(log_standin.LogStandinSettings())
-    relay = _Relay(port)
+    relay = _CountingRelay(port)
     client = http_service.HttpLogService(
         http_service.HttpLogSettings(f"http://127.0.0.1:{relay.port}")
     )
-    async with _serve_through(relay, port, log.build_app()):
+    async with _serve_behind_relay(relay, port, log.build_app()):
         for _ in range(_EXCHANGES):
             await client.read("control-karatas-anadolu", ids.Offset(0), 0)
-        value = relay.count / _EXCHANGES
+        value = relay.byte_count / _EXCHANGES
         await client.aclose()
     return [rows.Row("wire", "nothing new", "poll of the log", value, "B")]
 
 
-class _Receiver:
-    """A coordinator that takes heartbeats, and nothing else."""
+class _StubCoordinator:
+    """A coordinator that only answers heartbeats."""
 
     async def heartbeat(
         self, request: peer_protocol.Heartbeat
     ) -> peer_protocol.HeartbeatReply:
-        """Answers as a coordinator of one service."""
+        """Answers as the coordinator of one service."""
         return peer_protocol.HeartbeatReply(False, [ids.ServiceName("rapor")])
 
     def __getattr__(self, name: str) -> object:
-        """Stands in for the methods that are not measured."""
+        """Provides the other methods, which are not called."""
         return self.heartbeat
 
 
 async def _measure_heartbeats() -> list[rows.Row]:
-    """Measures heartbeats by the number of fronted servers."""
+    """Measures heartbeats by the number of servers that they report."""
     port = processes.find_free_port()
-    relay = _Relay(port)
+    relay = _CountingRelay(port)
     clock = hybrid_clock.HybridClock(clocks.SystemClock())
-    receiver: Any = _Receiver()
-    server = peer_server.PeerServer(f"127.0.0.1:{port}", receiver, clock)
+    coordinator: Any = _StubCoordinator()
+    server = peer_server.PeerServer(f"127.0.0.1:{port}", coordinator, clock)
     await server.start()
     client = peer_client.PeerClient(clock)
     found = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relay.run)
-        await anyio.sleep(_START_S)
+        await anyio.sleep(_STARTUP_S)
         for servers in _SERVERS:
-            before = relay.count
+            before = relay.byte_count
             for _ in range(_EXCHANGES):
                 await client.call(
                     f"127.0.0.1:{relay.port}",
                     peer_protocol.HEARTBEAT,
-                    _build_heartbeat(servers),
+                    _make_heartbeat(servers),
                     5.0,
                 )
-            value = (relay.count - before) / _EXCHANGES
+            value = (relay.byte_count - before) / _EXCHANGES
             size = f"{servers} servers, 10 loads"
             found.append(
                 rows.Row("wire", size, "heartbeat, both ways", value, "B")
@@ -212,8 +212,8 @@
     return found
 
 
-def _build_heartbeat(servers: int) -> peer_protocol.Heartbeat:
-    """Returns a heartbeat about as many servers as wanted."""
+def _make_heartbeat(servers: int) -> peer_protocol.Heartbeat:
+    """Returns a heartbeat that reports the given number of servers."""
     report = reports.ServiceReport(
         service=ids.ServiceName("rapor"),
         servers=[
--- a/libs/bridgecross-cli/src/bridgecross_cli/main.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/main.py
@@ -228,7 +228,7 @@
     )
     status.set_defaults(command=_commands.show_status)
     owner = commands.add_parser(
-        "owner", parents=[common], help="show the owner of a key"
+        "owner", parents=[common], help="show a key's owner and assignment"
     )
     owner.add_argument("service")
     owner.add_argument("key")
