--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -259,7 +259,7 @@
             load.start_soon(prober.run)
             await anyio.sleep(_SETTLE_S)
             before = await house_tools.read_cell(house, _SERVICE)
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             await SCENARIOS[name](run)
             ended_s = time.monotonic()
             for each in (prober, *run.extra_probers):
@@ -273,7 +273,7 @@
         [prober, *run.extra_probers],
         before,
         after,
-        began_s,
+        started_s,
         ended_s,
     )
 
@@ -285,7 +285,7 @@
     probers: list[probing.Prober],
     before: cells.Cell,
     after: cells.Cell,
-    began_s: float,
+    started_s: float,
     ended_s: float,
 ) -> Result:
     """Returns the result of a run."""
@@ -293,7 +293,7 @@
         (p for prober in probers for p in prober.probes),
         key=lambda probe: probe.sent_s,
     )
-    gaps = sorted(_find_gaps(probes, began_s, ended_s).values())
+    gaps = sorted(_find_gaps(probes, started_s, ended_s).values())
     journal = house.read_journals()
     not_run = [p.request_id for p in probes if p.outcome == "not-run"]
     violations = [
@@ -313,7 +313,7 @@
     )
     live = {state.server for state in after.slices}
     failed = [
-        p for p in probes if p.sent_s >= began_s and p.outcome != "answered"
+        p for p in probes if p.sent_s >= started_s and p.outcome != "answered"
     ]
     return Result(
         scenario=name,
@@ -322,7 +322,7 @@
         p99_s=gaps[min(int(len(gaps) * 0.99), len(gaps) - 1)],
         longest_s=gaps[-1],
         failed=len(failed),
-        sent=sum(1 for p in probes if p.sent_s >= began_s),
+        sent=sum(1 for p in probes if p.sent_s >= started_s),
         churn=len(changed_keys) / _KEYS,
         imbalance=max(served.values()) / (sum(served.values()) / len(live)),
         violations=len(violations),
@@ -330,7 +330,7 @@
 
 
 def _find_gaps(
-    probes: list[probing.Probe], began_s: float, ended_s: float
+    probes: list[probing.Probe], started_s: float, ended_s: float
 ) -> dict[str, float]:
     """Returns the longest time without an answer of each key.
 
@@ -341,7 +341,7 @@
     longest: dict[str, float] = {}
     open_since: dict[str, float] = {}
     for probe in probes:
-        if not began_s <= probe.sent_s <= ended_s:
+        if not started_s <= probe.sent_s <= ended_s:
             continue
         longest.setdefault(probe.key, 0.0)
         since_s = open_since.setdefault(probe.key, probe.sent_s)
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Measures how much each overload policy is worth, in virtual time.
+"""Measures the effect of each overload policy, in virtual time.
 
     python -m benchmarks.load [--seeds N] [--jobs N] [--loads NAME ...]
 
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -78,19 +78,19 @@
     network = house.network
     found = []
     for number, name in enumerate(("first", "second", "third"), 1):
-        seen_by = house.others()[number].parts
+        observer = house.others()[number].parts
         network.carried_count.clear()
         network.carried_bytes.clear()
-        now_s = seen_by.clock.monotonic_s()
+        now_s = observer.clock.monotonic_s()
         end = poison_requests.RunEnd(
             subject, f"i-{number}", now_s - 0.05, now_s
         )
-        seen_by.watch.ledger.record_end(end)
-        begun_s = house.now_s
-        seen_by.watch.on_ends([end])
+        observer.watch.ledger.record_end(end)
+        started_s = house.now_s
+        observer.watch.on_ends([end])
         known_s = await _wait_until_known(house, subject, number)
         size = f"{name} end, {count} instances"
-        found += _make_rows(size, network, known_s - begun_s)
+        found += _make_rows(size, network, known_s - started_s)
     return found
 
 
--- a/libs/bridgecross-cli/src/bridgecross_cli/_log_commands.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/_log_commands.py
@@ -35,11 +35,11 @@
 
 async def show_timeline(options: argparse.Namespace) -> int:
     """Shows the events of all instances; requests only if selected."""
-    wanted = set(options.event or ())
+    selected = set(options.event or ())
     return _print_lines(
         line
         for line in _read_logs(options).lines
-        if (line.event in wanted if wanted else line.event != "request")
+        if (line.event in selected if selected else line.event != "request")
     )
 
 
--- a/libs/bridgecross-cli/tests/test_value_report.py
+++ b/libs/bridgecross-cli/tests/test_value_report.py
@@ -9,7 +9,7 @@
 
 
 def _line(at_s=10.0, instance="entry-1", **fields: object):
-    known = {
+    defaults = {
         "at_s": at_s,
         "instance": instance,
         "event": "requests",
@@ -19,7 +19,7 @@
         "outcomes": {"in_time": 6, "late": 2, "no_room": 5},
         "held_s": {"in_time": 0.6, "late": 1.0, "no_room": 0.05},
     }
-    return json.dumps(known | fields)
+    return json.dumps(defaults | fields)
 
 
 def test_totals_are_summed_by_route_and_second():
