--- a/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/ports.py
@@ -1,7 +1,7 @@
-"""What an instance reaches the outside world through.
+"""The interfaces between an instance and its environment.
 
-The daemon fills these with HTTP and gRPC (``serving``); tests fill them with
-small fakes and run whole instances in one process.
+The daemon implements them with HTTP and gRPC (``serving``). Tests implement
+them with small fakes and run several complete instances in one process.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 from bridgecross_core import clock as clocks
 from bridgecross_core import hybrid_clock
-from bridgecross_daemon import peering
+from bridgecross_daemon import peer_protocol
 from bridgecross_log import service as log_service
 from bridgecross_ownership import leases
 from bridgecross_ownership import membership as memberships
@@ -22,18 +22,18 @@
 A = TypeVar("A")
 
 
-class ListUnavailableError(Exception):
+class InstanceListUnavailableError(Exception):
     """The instance list could not be read."""
 
 
-class ListSource(Protocol):
-    """The platform's instance list."""
+class InstanceListSource(Protocol):
+    """Reads the platform's instance list."""
 
     async def read(self) -> list[memberships.Listing]:
-        """Returns the list as the platform has it now.
+        """Returns the current list of the platform.
 
         Raises:
-            ListUnavailableError: It did not answer.
+            InstanceListUnavailableError: There was no valid answer.
         """
 
 
@@ -43,14 +43,14 @@
     async def call(
         self,
         address: str,
-        method: peering.Method[Q, A],
+        method: peer_protocol.Method[Q, A],
         request: Q,
         timeout_s: float,
     ) -> A:
         """Calls a method of an instance.
 
         Raises:
-            peering.PeerUnreachableError: There was no usable reply.
+            peer_protocol.PeerUnreachableError: There was no valid reply.
         """
 
 
@@ -58,23 +58,23 @@
     """Sends the requests of one service to its backend servers."""
 
     def replace_settings(self, settings: backends.BackendSettings) -> None:
-        """Puts new settings into force."""
+        """Replaces the settings."""
 
     async def aclose(self) -> None:
         """Closes all connections."""
 
 
 class InstancePorts(NamedTuple):
-    """Everything outside an instance.
+    """The dependencies of an instance on its environment.
 
-    The two factories are called once for the instance and once for each
-    service.
+    ``make_leases`` is called once for the instance, and ``make_backend`` once
+    for each service.
     """
 
     clock: clocks.Clock
     stamps: hybrid_clock.HybridClock
     log: log_service.LogService
-    listing: ListSource
+    listing: InstanceListSource
     peers: PeerCaller
     make_leases: Callable[[runners.AddressBook], leases.LeaseTransport]
     make_backend: Callable[[backends.BackendSettings], ServiceBackend]
--- a/libs/bridgecross-entry/tests/test_dispatch_notices.py
+++ b/libs/bridgecross-entry/tests/test_dispatch_notices.py
@@ -1,4 +1,4 @@
-"""What becomes of requests once servers have said how they are."""
+"""Dispatch of requests after servers reported that they leave or are full."""
 
 import dataclasses
 
@@ -18,138 +18,141 @@
 
 A, B = support.make_server("a"), support.make_server("b")
 LEAVING = attempts.Notice(is_leaving=True)
-# A bound that is soon over.
-SOON = dataclasses.replace(support.BOUNDS, drain_ms=40)
+# A short drain bound.
+SHORT_DRAIN_BOUNDS = dataclasses.replace(support.BOUNDS, drain_ms=40)
 
 
 async def _never(timeout_s):
-    raise AssertionError("it waited")
+    raise AssertionError("the request waited for a change of the key map")
 
 
-def _tell(scene, notice, told):
-    for each in told:
-        scene.registry.notices.record(each, notice)
+def _report(scene, notice, servers):
+    for server in servers:
+        scene.registry.notices.record(server, notice)
 
 
-async def test_others_are_taken_before_one_that_says_it_leaves():
+async def test_other_servers_are_preferred_to_a_leaving_one():
     backends = scenes.Backends(*[scenes.OK] * 4)
     scene = scenes.Scene(backends)
-    _tell(scene, LEAVING, [A])
+    _report(scene, LEAVING, [A])
     for _ in range(4):
         await scene.ask()
     assert backends.sent == ["b"] * 4
 
 
-async def test_one_that_says_it_leaves_is_used_for_a_while_if_need_be():
+async def test_leaving_server_is_used_for_a_while_if_there_is_no_other():
     backends = scenes.Backends(scenes.OK, scenes.OK)
     scene = scenes.Scene(backends)
-    _tell(scene, LEAVING, [A, B])
+    _report(scene, LEAVING, [A, B])
     assert await scene.ask() is scenes.OK
 
 
 @pytest.mark.parametrize(
     "keyed", [pytest.param(True, id="keyed"), pytest.param(False, id="any")]
 )
-async def test_nothing_goes_to_one_that_said_long_ago_that_it_leaves(keyed):
+async def test_nothing_goes_to_a_server_past_its_drain_limit(keyed):
     backends = scenes.Backends(scenes.OK)
-    scene = scenes.Scene(backends, keyed=keyed, bounds=SOON)
+    scene = scenes.Scene(backends, keyed=keyed, bounds=SHORT_DRAIN_BOUNDS)
     scene.put_map(1, scenes._owned_by("a"))
-    _tell(scene, LEAVING, [A, B])
-    await anyio.sleep(SOON.drain_ms / 1_000)
+    _report(scene, LEAVING, [A, B])
+    await anyio.sleep(SHORT_DRAIN_BOUNDS.drain_ms / 1_000)
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.status == 503
     assert backends.sent == []
 
 
-# Guards against: a caller waits, and comes back thrice within half a second,
-# for a key whose owner leaves and which cannot move before the log is back.
-async def test_a_key_whose_owner_has_left_is_refused_at_once():
-    scene = scenes.Scene(scenes.Backends(), keyed=True, bounds=SOON)
+# Guards against callers that wait, and retry three times within half a second,
+# for a key whose owner leaves and which cannot move while the log is down.
+async def test_request_for_a_key_whose_owner_left_is_refused_immediately():
+    scene = scenes.Scene(
+        scenes.Backends(), keyed=True, bounds=SHORT_DRAIN_BOUNDS
+    )
     scene.put_map(1, scenes._owned_by("a"))
-    _tell(scene, LEAVING, [A])
-    await anyio.sleep(SOON.drain_ms / 1_000)
+    _report(scene, LEAVING, [A])
+    await anyio.sleep(SHORT_DRAIN_BOUNDS.drain_ms / 1_000)
     scene.table.changed.wait = _never
     outcome = await scene.ask()
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.retry_after_ms == 1_000
 
 
-async def test_a_request_that_waited_for_room_is_not_sent_after_the_bound():
+async def test_queued_request_is_not_sent_after_the_drain_limit():
     backends = scenes.Backends(None, scenes.OK)
-    scene = scenes.Scene(backends, keyed=True, bounds=SOON)
+    scene = scenes.Scene(backends, keyed=True, bounds=SHORT_DRAIN_BOUNDS)
     scene.put_map(1, scenes._owned_by("a"))
     queue = scene.registry.get(A.server_id).queue
     queue.settings = dataclasses.replace(queue.settings, slots=1)
-    waited = []
+    waiter_outcomes = []
     async with anyio.create_task_group() as tasks:
 
         async def wait():
-            waited.append(await scene.ask())
+            waiter_outcomes.append(await scene.ask())
 
         tasks.start_soon(lambda: scene.ask(caller_timeout_ms=100.0))
         await anyio.sleep(0.01)
         tasks.start_soon(wait)
         await anyio.sleep(0.01)
-        _tell(scene, LEAVING, [A])
+        _report(scene, LEAVING, [A])
     assert backends.sent == ["a"]
-    assert isinstance(waited[0], outcomes.NotRun)
+    assert isinstance(waiter_outcomes[0], outcomes.NotRun)
 
 
-REST_S = 3.0
-REST = attempts.Notice(backoff_s=REST_S)
+BACKOFF_S = 3.0
+BACKOFF = attempts.Notice(backoff_s=BACKOFF_S)
 
 
-class Full(scenes.Backends):
-    """Some servers are full, and may ask for rest; the others answer."""
+class FullBackends(scenes.Backends):
+    """Backends of which some are full and ask for a backoff."""
 
-    def __init__(self, **rests_s: float) -> None:
+    def __init__(self, **backoffs_s: float) -> None:
         super().__init__()
-        self.rests_s = rests_s
-        self.hear = None
+        self.backoffs_s = backoffs_s
+        self.on_notice = None
 
     async def send(self, server, request, remaining_ms, may_send):
-        rest_s = self.rests_s.get(server.name)
-        self.script = [scenes.OK if rest_s is None else scenes.SHED]
+        backoff_s = self.backoffs_s.get(server.name)
+        self.script = [scenes.OK if backoff_s is None else scenes.SHED]
         result = await super().send(server, request, remaining_ms, may_send)
-        if rest_s is not None and result is scenes.SHED:
-            self.hear(server, attempts.Notice(backoff_s=rest_s))
+        if backoff_s is not None and result is scenes.SHED:
+            self.on_notice(server, attempts.Notice(backoff_s=backoff_s))
         return result
 
 
-def _make_full(*, keyed=False, **rests_s: float):
-    backends = Full(**rests_s)
+def _make_full_scene(*, keyed=False, **backoffs_s: float):
+    backends = FullBackends(**backoffs_s)
     scene = scenes.Scene(backends, keyed=keyed)
     scene.put_map(1, scenes._owned_by("a"))
-    backends.hear = scene.registry.notices.record
+    backends.on_notice = scene.registry.notices.record
     return backends, scene
 
 
-def _check_refused(outcome, rest_s):
-    """Checks that a caller is told to come back soon after the rest."""
+def _check_refused(outcome, backoff_s):
+    """Checks that the Retry-After ends shortly after the backoff."""
     assert isinstance(outcome, outcomes.NotRun)
     assert outcome.status == 503
-    assert rest_s - 0.5 < outcome.retry_after_ms / 1_000 < rest_s + 0.5
+    assert backoff_s - 0.5 < outcome.retry_after_ms / 1_000 < backoff_s + 0.5
 
 
-# Guards against: a full server that asked for 3 s of rest got up to 15 more
-# requests of the same instance in that time, four in a row for one caller.
-async def test_the_owner_of_a_key_is_left_alone_for_as_long_as_it_asked():
-    backends, scene = _make_full(keyed=True, a=REST_S)
+# Guards against a failure in which a full server that asked for a backoff of
+# 3 s got up to 15 more requests of the same instance in that time, four in a
+# row for one caller.
+async def test_no_request_goes_to_an_owner_during_its_backoff():
+    backends, scene = _make_full_scene(keyed=True, a=BACKOFF_S)
     for _ in range(5):
-        _check_refused(await scene.ask(), REST_S)
+        _check_refused(await scene.ask(), BACKOFF_S)
     assert backends.sent == ["a"]
 
 
-async def test_others_are_tried_while_one_rests():
-    backends, scene = _make_full(a=REST_S)
+async def test_other_servers_are_used_during_a_backoff():
+    backends, scene = _make_full_scene(a=BACKOFF_S)
     for _ in range(6):
         assert await scene.ask() is scenes.OK
     assert backends.sent.count("a") <= 1
 
 
-async def test_all_that_rest_are_left_alone_for_the_shortest_rest():
-    backends, scene = _make_full(a=REST_S, b=2.0)
+async def test_requests_are_refused_until_the_first_backoff_ends():
+    backends, scene = _make_full_scene(a=BACKOFF_S, b=2.0)
     for _ in range(4):
         _check_refused(await scene.ask(), 2.0)
     assert sorted(backends.sent) == ["a", "b"]
@@ -158,42 +161,42 @@
 @pytest.mark.parametrize(
     "keyed", [pytest.param(True, id="keyed"), pytest.param(False, id="any")]
 )
-async def test_a_server_is_used_again_after_its_rest(keyed):
-    backends, scene = _make_full(keyed=keyed)
-    _tell(scene, attempts.Notice(backoff_s=0.05), [A, B])
+async def test_server_is_used_again_after_its_backoff(keyed):
+    backends, scene = _make_full_scene(keyed=keyed)
+    _report(scene, attempts.Notice(backoff_s=0.05), [A, B])
     assert isinstance(await scene.ask(), outcomes.NotRun)
     await anyio.sleep(0.1)
     assert await scene.ask() is scenes.OK
     assert len(backends.sent) == 1
 
 
-async def test_a_request_that_waited_is_not_sent_to_one_that_rests_by_then():
+async def test_queued_request_is_not_sent_during_a_backoff():
     backends = scenes.Backends(None, scenes.OK)
     scene = scenes.Scene(backends, keyed=True)
     scene.put_map(1, scenes._owned_by("a"))
     queue = scene.registry.get(A.server_id).queue
     queue.settings = dataclasses.replace(queue.settings, slots=1)
-    waited = []
+    waiter_outcomes = []
     async with anyio.create_task_group() as tasks:
 
         async def wait():
-            waited.append(await scene.ask())
+            waiter_outcomes.append(await scene.ask())
 
         tasks.start_soon(lambda: scene.ask(caller_timeout_ms=100.0))
         await anyio.sleep(0.01)
         tasks.start_soon(wait)
         await anyio.sleep(0.01)
-        _tell(scene, REST, [A])
+        _report(scene, BACKOFF, [A])
     assert backends.sent == ["a"]
-    _check_refused(waited[0], REST_S)
+    _check_refused(waiter_outcomes[0], BACKOFF_S)
 
 
-async def test_a_failure_that_was_answered_is_told_while_all_rest():
+async def test_error_answer_is_returned_if_all_servers_are_in_backoff():
     backends = scenes.Backends(scenes.FAILED)
     scene = scenes.Scene(backends)
 
     async def send(server, request, remaining_ms, may_send):
-        _tell(scene, REST, [A, B])
+        _report(scene, BACKOFF, [A, B])
         return scenes.FAILED
 
     backends.send = send
@@ -201,7 +204,7 @@
 
 
 class Permits:
-    """A ``PermitClient`` that gives permits for one server."""
+    """A ``PermitClient`` that issues permits for one server."""
 
     def __init__(self, name: str) -> None:
         self.permit = permit_client.Permit(
@@ -221,43 +224,45 @@
         self.returned.append(ending)
 
 
-async def test_a_permit_for_one_that_rests_is_given_back_unused():
-    backends, scene = _make_full()
+async def test_permit_for_a_server_in_backoff_is_returned_unused():
+    backends, scene = _make_full_scene()
     scene.dispatcher._permits = Permits("a")
-    _tell(scene, REST, [A])
+    _report(scene, BACKOFF, [A])
     assert await scene.ask() is scenes.OK
     assert backends.sent == ["b"]
     assert scene.dispatcher._permits.returned == [permits.Outcome.UNUSED]
 
 
 @pytest.mark.parametrize(
-    ("keyed", "told"),
+    ("keyed", "servers"),
     [
         pytest.param(True, [A], id="the owner of the key"),
         pytest.param(False, [A, B], id="all"),
     ],
 )
-async def test_no_permit_is_asked_for_while_all_rest(keyed, told):
-    backends, scene = _make_full(keyed=keyed)
+async def test_no_permit_is_requested_if_all_servers_are_in_backoff(
+    keyed, servers
+):
+    backends, scene = _make_full_scene(keyed=keyed)
     scene.dispatcher._permits = Permits("a")
-    _tell(scene, REST, told)
-    _check_refused(await scene.ask(), REST_S)
+    _report(scene, BACKOFF, servers)
+    _check_refused(await scene.ask(), BACKOFF_S)
     assert scene.dispatcher._permits.asked == []
     assert backends.sent == []
 
 
-async def test_who_asks_for_a_permit_names_those_that_rest():
-    _, scene = _make_full()
+async def test_permit_request_excludes_servers_in_backoff():
+    _, scene = _make_full_scene()
     scene.dispatcher._permits = Permits("b")
-    _tell(scene, REST, [A])
+    _report(scene, BACKOFF, [A])
     assert await scene.ask() is scenes.OK
     assert set(scene.dispatcher._permits.asked[0].tried) == {"a"}
 
 
-# Guards against: one caller's request went four times in a row to the only
-# server that could take it, within 4 ms, each time turned away as full.
+# Guards against a request that goes four times in a row, within 4 ms, to the
+# only server that can serve it and is rejected by the full server each time.
 @pytest.mark.parametrize("keyed", [True, False])
-async def test_a_request_does_not_go_again_to_the_only_one_that_is_full(keyed):
+async def test_request_is_not_retried_at_the_only_server_if_it_is_full(keyed):
     backends = scenes.Backends(*[scenes.SHED] * 4)
     scene = scenes.Scene(backends, keyed=keyed)
     scene.put_map(1, scenes._owned_by("a"))
@@ -279,7 +284,7 @@
     )
 
 
-async def test_a_request_that_its_owner_shed_follows_its_key():
+async def test_request_shed_by_the_owner_follows_its_key():
     backends = scenes.Backends(scenes.SHED, scenes.OK)
     scene = scenes.Scene(backends, keyed=True)
     scene.put_map(1, scenes._owned_by("a"))
