--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -81,8 +81,8 @@
     found = []
     for number, name in enumerate(("first", "second", "third"), 1):
         observer = cluster.others()[number].parts
-        network.carried_count.clear()
-        network.carried_bytes.clear()
+        network.message_count.clear()
+        network.message_bytes.clear()
         now_s = observer.clock.monotonic_s()
         end = poison_requests.RunEnd(
             subject, f"i-{number}", now_s - 0.05, now_s
@@ -117,8 +117,8 @@
 ) -> list[rows.Row]:
     """Returns the rows of one crash."""
     path = poison_broadcast.PATH.decode()
-    count = network.carried_count[path]
-    size_kb = network.carried_bytes[path] / 1e3
+    count = network.message_count[path]
+    size_kb = network.message_bytes[path] / 1e3
     return [
         rows.Row("poison", size, "until all know", took_s * 1e3, "ms"),
         rows.Row("poison", size, "messages", count, ""),
--- a/benchmarks/poison_fingerprints.py
+++ b/benchmarks/poison_fingerprints.py
@@ -101,9 +101,9 @@
 async def _run_callers(scene: crash_scene.Scene) -> None:
     """Runs the callers for ``_LENGTH_S`` seconds."""
     fleet = scene.cluster.fleet
-    fleet.deadly.add(_TARGET)
+    fleet.poison_targets.add(_TARGET)
     fleet.harmless_bodies.add(_HARMLESS_BODY)
-    scene.cluster.network.carried_bytes.clear()
+    scene.cluster.network.message_bytes.clear()
     async with anyio.create_task_group() as callers:
         for body in (b"", _HARMLESS_BODY):
             callers.start_soon(
@@ -123,7 +123,7 @@
     sent_too_late = [
         run
         for run in scene.cluster.fleet.runs
-        if run.is_deadly and run.at_s > late_from_s
+        if run.is_poison and run.at_s > late_from_s
     ]
     refused = [
         told
@@ -132,7 +132,7 @@
         and getattr(told.outcome, "reason", "") == _REFUSED
     ]
     path = poison_broadcast.PATH.decode()
-    broadcast_kb = scene.cluster.network.carried_bytes[path] / 1e3
+    broadcast_kb = scene.cluster.network.message_bytes[path] / 1e3
     ledgers = [each.parts.watch.ledger for each in scene.cluster.instances]
     suspects = max(len(each.list_known()) for each in ledgers)
     figures = (
--- a/libs/bridgecross-cli/src/bridgecross_cli/_lab_commands.py
+++ b/libs/bridgecross-cli/src/bridgecross_cli/_lab_commands.py
@@ -48,7 +48,7 @@
     started_s = time.monotonic()
     until_s = started_s + 60 * options.minutes
     draw = DRAWS[options.draw]
-    played_count, found = search.hunt(options.seeds, until_s, draw)
+    played_count, found = search.search_seeds(options.seeds, until_s, draw)
     took_s = time.monotonic() - started_s
     for each in found:
         _shrink_and_save(each, draw(each.seed), options.keep)
@@ -60,7 +60,7 @@
 
 
 def _shrink_and_save(
-    found: search.Found,
+    found: search.FailedSeed,
     drawn: tuple[faults.Event, ...],
     folder: pathlib.Path,
 ) -> None:
@@ -68,11 +68,11 @@
     promise = found.violations[0].promise
 
     def breaks_same_promise(events: tuple[faults.Event, ...]) -> bool:
-        violations = search.play(events).violations
+        violations = search.simulate(events).violations
         return promise in {v.promise for v in violations}
 
     shrunk = search.shrink(drawn, breaks_same_promise)
-    violations = search.play(shrunk).violations
+    violations = search.simulate(shrunk).violations
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"seed-{found.seed}.json"
     search.save(path, shrunk, violations)
@@ -87,7 +87,7 @@
     except (OSError, search.ScheduleError) as error:
         print(f"bridgecross: {error}", file=sys.stderr)
         return _commands.EXIT_BAD_INPUT
-    played = search.play(events)
+    played = search.simulate(events)
     if options.log:
         for line in played.lines:
             print(json.dumps(line._asdict(), default=str))
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/__init__.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/__init__.py
@@ -1,22 +1,22 @@
-"""Entry instances in virtual time, with models of what surrounds them.
+"""Runs entry instances in virtual time, with models of their environment.
 
-The instances are real: ``bridgecross_entry.assembly`` builds them. What lies
-outside of them is modelled, and can be made to fail:
+The instances are real: ``bridgecross_entry.assembly`` builds them. Everything
+outside of them is modelled, and faults can be injected into it:
 
-* ``virtual``: an event loop on virtual time, and hosts that stand still.
-* ``log_model``: the platform's log, and each instance's way to it.
+* ``virtual``: an event loop on virtual time, and hosts that can be paused.
+* ``log_model``: the platform's log, and each instance's client of it.
 * ``network``: links between instances.
 * ``servers``: servers that own keys, with their runs, leases and tokens.
 * ``instances``: one emulated instance.
 * ``cluster``: all of them together.
-* ``callers``: who sends requests to them, some of which end servers.
-* ``faults``: what may happen to them, drawn by seed.
-* ``moving``: what may happen while keys move and are asked for.
-* ``traffic``: callers who keep asking for keys.
-* ``work``: requests at work at a server.
-* ``checks``: what must hold all the same.
+* ``callers``: callers, and poison requests, which crash servers.
+* ``faults``: faults, drawn at random from a seed.
+* ``move_faults``: faults while keys move and requests for them arrive.
+* ``traffic``: a steady load of requests for random keys.
+* ``work``: requests that are running on a server.
+* ``checks``: the guarantees that must hold in spite of faults.
 * ``ownership_model``: all orders of events around one key, up to a bound.
-* ``search``: plays, shrinks, keeps and replays.
+* ``search``: simulates schedules of faults, shrinks, saves and loads them.
 """
 
 __all__ = [
@@ -26,7 +26,7 @@
     "faults",
     "instances",
     "log_model",
-    "moving",
+    "move_faults",
     "network",
     "ownership_model",
     "search",
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a cluster, and requests of theirs that end servers."""
+"""Callers of a cluster, and their poison requests, which crash servers."""
 
 import itertools
 import random
@@ -10,7 +10,7 @@
 from bridgecross_emulator import instances
 from bridgecross_entry import attempts
 
-_PATIENCE_MS = 500.0
+_CALLER_TIMEOUT_MS = 500.0
 _GAP_S = 0.25
 _KEYS_COUNT = 65_536
 
@@ -23,11 +23,11 @@
 def list_reachable(
     cluster: clusters.Cluster,
 ) -> list[instances.EmulatedInstance]:
-    """Returns the instances that callers are sent to."""
+    """Returns the instances that can serve callers."""
     return [
         each
         for each in cluster.instances
-        if not each.host.stands_still and each.configuration_version
+        if not each.host.is_paused and each.configuration_version
     ]
 
 
@@ -50,30 +50,30 @@
         body=body,
         key=key,
         received_s=instance.parts.clock.monotonic_s(),
-        caller_timeout_ms=_PATIENCE_MS,
+        caller_timeout_ms=_CALLER_TIMEOUT_MS,
         caller=caller,
     )
     return await instance.request(request)
 
 
-class DeadlyCallers:
-    """Callers who ask for what ends servers; each of them comes twice."""
+class PoisonCallers:
+    """Callers that send poison requests; each caller sends two of each."""
 
     def __init__(self, cluster: clusters.Cluster, seed: int) -> None:
-        """Asks for nothing yet."""
+        """Initializes the callers without sending requests."""
         self._cluster = cluster
         self._rng = random.Random(seed)
 
     async def run(self) -> None:
-        """Asks for each such request again and again, until cancelled."""
+        """Sends each poison request repeatedly, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for number in itertools.count():
-                for target in sorted(self._cluster.fleet.deadly):
-                    tasks.start_soon(self._ask, target, number)
+                for target in sorted(self._cluster.fleet.poison_targets):
+                    tasks.start_soon(self._send_requests, target, number)
                 await anyio.sleep(_GAP_S)
 
-    async def _ask(self, target: bytes, number: int) -> None:
-        """Sends one request to an instance that answers."""
+    async def _send_requests(self, target: bytes, number: int) -> None:
+        """Sends one request to a random reachable instance."""
         reachable = list_reachable(self._cluster)
         if not reachable:
             return
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -12,17 +12,17 @@
 IN_FORCE_WITHIN_S = 2.0
 """From the log's acknowledgement of a configuration to its use everywhere."""
 
-IN_TOUCH_AFTER_S = 3.0
+UNDISTURBED_AFTER_S = 3.0
 """For so long an instance and the log must have been left in peace."""
 
-EMPTY_WITHIN_S = 5.0
+EVACUATED_WITHIN_S = 5.0
 """From the log's acknowledgement of an evacuation to its use everywhere."""
 
 SERVED_AGAIN_WITHIN_S = 8.0
 """After the last fault: entries come back in 2.6 s, a lease lasts 2.7 s and an
 earlier leader's orders 2 s."""
 
-_LOOK_S = 0.05
+_CHECK_INTERVAL_S = 0.05
 
 
 class Violation(NamedTuple):
@@ -47,9 +47,9 @@
         """Looks again and again, until cancelled."""
         while True:
             for instance in self._scene.cluster.instances:
-                if not instance.host.stands_still:
+                if not instance.host.is_paused:
                     self.look(instance)
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
         """Compares what one instance uses with what was published."""
@@ -61,9 +61,9 @@
             detail = f"{name} went from version {highest} to {used}"
             self._note("configuration never goes back", detail)
         self._highest[instance] = max(highest, used)
-        if self._scene.disturbances.calm_s(name) < IN_TOUCH_AFTER_S:
+        if self._scene.disturbances.undisturbed_s(name) < UNDISTURBED_AFTER_S:
             return
-        due_s = now_s - IN_FORCE_WITHIN_S - _LOOK_S
+        due_s = now_s - IN_FORCE_WITHIN_S - _CHECK_INTERVAL_S
         published = self._scene.cluster.published
         due = [p.version for p in published if p.acknowledged_s <= due_s]
         if due and used < due[-1]:
@@ -90,17 +90,17 @@
         while True:
             for instance in self._scene.cluster.instances:
                 name = instance.settings.name
-                calm_s = self._scene.disturbances.calm_s(name)
-                stands = instance.host.stands_still
-                if not stands and calm_s >= IN_TOUCH_AFTER_S:
+                calm_s = self._scene.disturbances.undisturbed_s(name)
+                stands = instance.host.is_paused
+                if not stands and calm_s >= UNDISTURBED_AFTER_S:
                     self.look(instance)
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
         """Looks whether an instance in touch may still use such a server."""
         cluster = self._scene.cluster
         for domain, taken_s in cluster.evacuated_s.items():
-            if cluster.now_s < taken_s + EMPTY_WITHIN_S + _LOOK_S:
+            if cluster.now_s < taken_s + EVACUATED_WITHIN_S + _CHECK_INTERVAL_S:
                 continue
             used = [
                 s.listed.name
@@ -118,11 +118,13 @@
                 self.violations.append(violation)
 
 
-DEADLY_ENDS_MAX_COUNT = 3
+POISON_CRASHES_MAX_COUNT = 3
 """Servers that may end under one request before none gets it any more."""
 
 
-def check_deadly(cluster: clusters.Cluster, calm_s: float) -> list[Violation]:
+def check_poison_requests(
+    cluster: clusters.Cluster, calm_s: float
+) -> list[Violation]:
     """Returns requests under which servers went on to end.
 
     While instances are lost or cut off, some may not know what others saw.
@@ -132,13 +134,13 @@
         calm_s: Since when nothing has been wrong but those requests.
     """
     found = []
-    for target in sorted(cluster.fleet.deadly):
+    for target in sorted(cluster.fleet.poison_targets):
         ends = [
             end
             for end in cluster.fleet.ends
             if end.target == target and end.at_s > calm_s
         ]
-        if len(ends) > DEADLY_ENDS_MAX_COUNT:
+        if len(ends) > POISON_CRASHES_MAX_COUNT:
             detail = f"{len(ends)} servers ended under {target.decode()}"
             violation = Violation(
                 "three servers end under a request", ends[-1].at_s, detail
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/cluster.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/cluster.py
@@ -32,12 +32,12 @@
     warmup_overage_ratio=1.5,
     warmup_slack=8.0,
 )
-"""What the platform promises and asks for; the users' figures."""
+"""The bounds that the platform sets; figures from the users."""
 
 _PEER_PORT = 7_620
 _SERVER_PORT = 8_609
 _LONGEST_UP_S = 100_000.0
-"""Steady clocks start anywhere: machines have run for up to a day or so."""
+"""Monotonic clocks start at random: machines have run for up to about a day."""
 
 
 def name_domain(number: int) -> str:
@@ -48,7 +48,7 @@
 def make_settings(
     number: int, *, is_first_start: bool = False
 ) -> model.InstanceSettings:
-    """Returns what the platform tells an instance, by its number from 0."""
+    """Returns the settings of an instance, by its number from 0."""
     address = model.Address(f"10.1.0.{number + 1}", _PEER_PORT)
     return model.InstanceSettings(
         name=f"entry-{number}",
@@ -67,18 +67,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """What a cluster consists of."""
+    """The parts of a cluster."""
 
     instance_count: int = 5
-    # Servers of the service divided by key, and of the other one.
+    # Servers of the service whose keys have owners, and of the other service.
     server_count: int = 0
     free_server_count: int = 0
     # Failure domains among which the servers are spread.
     server_domain_count: int = 1
-    # How servers warm up that start while the cluster runs; None if they need
-    # not.
+    # How servers warm up that start while the cluster runs; None if they don't.
     warmup: instances.Warmup | None = None
-    # Whether the platform tells the first lives of the instances that the
+    # Whether the platform tells the instances, when they first start, that the
     # whole system starts for the first time.
     is_first_start: bool = False
     seed: int = 1
@@ -94,14 +93,14 @@
 
 
 class Published(NamedTuple):
-    """A configuration that the log has taken."""
+    """A configuration that the log has acknowledged."""
 
     version: int
     acknowledged_s: float
 
 
 class Cluster:
-    """Instances, their log and the links between them."""
+    """Instances and servers, their log, and the links between them."""
 
     def __init__(
         self,
@@ -112,17 +111,17 @@
         """Builds the cluster; nothing runs yet.
 
         Args:
-            settings: What it consists of.
-            environment: Brings the time.
-            tasks: Where instances run.
+            settings: The parts of the cluster.
+            environment: The source of the virtual time.
+            tasks: The task group in which the instances run.
         """
         loguru.logger.remove()
         self._settings = settings
-        # What all instances wrote, in order.
+        # The log lines of all instances, in order.
         self.lines: list[instances.Line] = []
         self.published: list[Published] = []
-        # When the log took it that a failure domain is evacuated; those that
-        # were taken back are left out.
+        # When the log acknowledged the evacuation of each failure domain;
+        # without evacuations that have ended.
         self.evacuated_s: dict[str, float] = {}
         self.log = log_model.LogModel(settings.log)
         self.network = networks.Network(settings.network)
@@ -142,8 +141,8 @@
         self._environment = environment
         self._tasks = tasks
         self._rng = random.Random(settings.seed)
-        # Every life of every instance, also those that were killed.
-        self._lives: list[instances.EmulatedInstance] = []
+        # All processes of all instances, including those that were killed.
+        self._processes: list[instances.EmulatedInstance] = []
         self.instances = [
             self._make(number, is_first_start=settings.is_first_start)
             for number in range(settings.instance_count)
@@ -158,7 +157,7 @@
     def _make(
         self, number: int, *, is_first_start: bool = False
     ) -> instances.EmulatedInstance:
-        """Returns a new life of an instance."""
+        """Returns a new process of an instance."""
         host = virtual.Host()
         clock = virtual.Clock(
             self._environment, self._rng.uniform(0.0, _LONGEST_UP_S), host
@@ -167,19 +166,19 @@
         address = settings.peer_address
         life = instances.EmulatedInstance(
             settings,
-            log_model.LogWay(self.log, clock),
-            servers_lib.Orders(self.fleet, address),
-            servers_lib.Requests(self.fleet, address, clock),
+            log_model.LogClient(self.log, clock),
+            servers_lib.EmulatedLeaseClient(self.fleet, address),
+            servers_lib.EmulatedBackendClient(self.fleet, address, clock),
             self.network,
             host,
             clock,
-            instances.Recorder(settings.name, clock, self.lines),
+            instances.MemoryJournal(settings.name, clock, self.lines),
         )
-        self._lives.append(life)
+        self._processes.append(life)
         return life
 
     async def start(self, settle_s: float = 4.0) -> None:
-        """Starts all instances, and waits until they have found together."""
+        """Starts all instances, and waits for them to elect a leader."""
         if self._settings.warmup is not None:
             self.fleet.warmup_s = self._settings.warmup.for_s
         self._tasks.start_soon(self.fleet.run)
@@ -188,17 +187,17 @@
         await anyio.sleep(settle_s)
 
     def stop(self) -> None:
-        """Ends everything that runs in the cluster's task group.
+        """Cancels everything that runs in the cluster's task group.
 
-        Tasks of hosts that stand still could not be cancelled.
+        Resumes paused hosts first, because their tasks cannot be cancelled.
         """
         loop = asyncio.get_running_loop()
-        for life in self._lives:
-            life.host.run_again(loop)
+        for life in self._processes:
+            life.host.resume(loop)
         self._tasks.cancel_scope.cancel()
 
     def publish(self) -> Published:
-        """Lets the operator change the configuration."""
+        """Publishes the next configuration, as an operator would."""
         version = 1 + len(self.published)
         record = logs.KeyedRecord(
             instances.CONFIGURATION_KEY,
@@ -210,10 +209,10 @@
         return published
 
     def evacuate(self, domain: str) -> float:
-        """Lets the operator evacuate a failure domain of servers.
+        """Evacuates a failure domain of servers, as an operator would.
 
         Returns:
-            When the log had taken it.
+            When the log acknowledged it.
         """
         key = instances.EVACUATION_PREFIX + domain
         record = logs.KeyedRecord(key, b"{}")
@@ -221,22 +220,22 @@
         self.evacuated_s.setdefault(domain, self.now_s)
         return self.now_s
 
-    def take_back(self, domain: str) -> None:
-        """Lets the operator take a failure domain back; it is cold then."""
+    def end_evacuation(self, domain: str) -> None:
+        """Ends an evacuation, as an operator would; the servers are cold."""
         self.evacuated_s.pop(domain, None)
-        self.fleet.cool(domain)
+        self.fleet.make_cold(domain)
         key = instances.EVACUATION_PREFIX + domain
         self.log.add(instances.CONFIGURATION_TOPIC, logs.KeyedRecord(key, b""))
 
-    def run_beside(
+    def run_in_background(
         self, work: Callable[..., Coroutine[Any, Any, None]], *args: object
     ) -> None:
-        """Runs something until it ends, or the cluster stops."""
+        """Runs a coroutine until it ends, or the cluster stops."""
         self._tasks.start_soon(work, *args)
 
     @property
     def leader(self) -> instances.EmulatedInstance:
-        """The instance that made the newest claim."""
+        """The instance that claimed the lead last."""
         leads = [line for line in self.lines if line.event == "leads"]
         name = leads[-1].instance
         return next(i for i in self.instances if i.settings.name == name)
@@ -246,28 +245,28 @@
         leader = self.leader
         return [each for each in self.instances if each is not leader]
 
-    # What happens to instances.
+    # Faults of instances.
 
-    def freeze(self, instance: instances.EmulatedInstance) -> None:
-        """Makes the host of an instance stand still."""
-        instance.host.stands_still = True
+    def pause(self, instance: instances.EmulatedInstance) -> None:
+        """Pauses the host of an instance."""
+        instance.host.is_paused = True
 
-    def thaw(self, instance: instances.EmulatedInstance) -> None:
-        """Lets the host of an instance run again, unless it was killed."""
-        if not instance.is_dead:
-            instance.host.run_again(asyncio.get_running_loop())
+    def resume(self, instance: instances.EmulatedInstance) -> None:
+        """Resumes the host of an instance, unless the instance was killed."""
+        if not instance.is_killed:
+            instance.host.resume(asyncio.get_running_loop())
 
     async def suspend(
         self, instance: instances.EmulatedInstance, for_s: float
     ) -> None:
         """Suspends the machine of an instance for a while."""
-        self.freeze(instance)
+        self.pause(instance)
         await anyio.sleep(for_s)
         instance.host.suspended_s += for_s
-        self.thaw(instance)
+        self.resume(instance)
 
     def restart(self, instance: instances.EmulatedInstance) -> None:
-        """Starts another life of an instance that was killed."""
+        """Starts a new process of an instance that was killed."""
         number = self.instances.index(instance)
         new = self._make(number)
         self.instances[number] = new
@@ -283,10 +282,10 @@
                 self.network.cut(address, own)
 
     def silence(self) -> None:
-        """Makes all open connections silent for good; new ones work."""
+        """Makes all open connections permanently silent; new ones work."""
         self.network.silence()
         for instance in self.instances:
-            instance.way.silence()
+            instance.log_client.silence()
 
     async def wait_until_in_force(
         self,
@@ -294,10 +293,10 @@
         where: list[instances.EmulatedInstance],
         longest_s: float = 10.0,
     ) -> float:
-        """Waits until a configuration is in force at some instances.
+        """Waits until a configuration is in force at the given instances.
 
         Returns:
-            How long after it was acknowledged the last of them took it.
+            The time from its acknowledgement until the last of them applied it.
         """
         step_s = 0.01
         while self.now_s < published.acknowledged_s + longest_s:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -66,7 +66,7 @@
         if not self._lasting[name]:
             self._until_s[name] = self._cluster.now_s
 
-    def calm_s(self, name: str) -> float:
+    def undisturbed_s(self, name: str) -> float:
         """Returns for how long an instance and the log have had peace."""
         until_s = max(self._until_s.get(each, -math.inf) for each in (name, ""))
         return self._cluster.now_s - until_s
@@ -102,34 +102,34 @@
 
 
 def _cut_off_log(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.cut()
-    return way.heal
+    log_client = scene.instance(target).log_client
+    log_client.cut()
+    return log_client.heal
 
 
-def _turn_away(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.turned_away = True
+def _reject(scene: Scene, target: int) -> End:
+    log_client = scene.instance(target).log_client
+    log_client.rejected = True
 
     def end() -> None:
-        way.turned_away = False
+        log_client.rejected = False
 
     return end
 
 
 def _slow_log(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.slow_ratio = 60.0
+    log_client = scene.instance(target).log_client
+    log_client.slow_ratio = 60.0
 
     def end() -> None:
-        way.slow_ratio = 1.0
+        log_client.slow_ratio = 1.0
 
     return end
 
 
 def _kill(scene: Scene, target: int) -> End:
     instance = scene.instance(target)
-    if instance.is_dead:
+    if instance.is_killed:
         return lambda: None
     instance.kill()
     return lambda: scene.cluster.restart(instance)
@@ -137,11 +137,13 @@
 
 def _freeze(scene: Scene, target: int) -> End:
     instance = scene.instance(target)
-    scene.cluster.freeze(instance)
-    return lambda: scene.cluster.thaw(instance)
+    scene.cluster.pause(instance)
+    return lambda: scene.cluster.resume(instance)
 
 
-def _separate(scene: Scene, target: int, *, speaks: bool, hears: bool) -> End:
+def _cut_from_peers(
+    scene: Scene, target: int, *, speaks: bool, hears: bool
+) -> End:
     """Cuts an instance off from the others, in one direction or in both."""
     network = scene.cluster.network
     own = scene.instance(target).settings.peer_address
@@ -156,36 +158,36 @@
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
 
 def _isolate(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=False, hears=False)
+    return _cut_from_peers(scene, target, speaks=False, hears=False)
 
 
-def _mute(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=False, hears=True)
+def _cut_outbound(scene: Scene, target: int) -> End:
+    return _cut_from_peers(scene, target, speaks=False, hears=True)
 
 
-def _deafen(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=True, hears=False)
+def _cut_inbound(scene: Scene, target: int) -> End:
+    return _cut_from_peers(scene, target, speaks=True, hears=False)
 
 
-def _take_log_away(scene: Scene, target: int) -> End:
-    scene.cluster.log.is_away = True
+def _make_log_unavailable(scene: Scene, target: int) -> End:
+    scene.cluster.log.is_unavailable = True
 
     def end() -> None:
-        scene.cluster.log.is_away = False
+        scene.cluster.log.is_unavailable = False
 
     return end
 
 
-def _take_topic_away(scene: Scene, target: int) -> End:
+def _make_topic_unavailable(scene: Scene, target: int) -> End:
     topic = _TOPICS[target % len(_TOPICS)]
-    scene.cluster.log.away_topics.add(topic)
-    return lambda: scene.cluster.log.away_topics.discard(topic)
+    scene.cluster.log.unavailable_topics.add(topic)
+    return lambda: scene.cluster.log.unavailable_topics.discard(topic)
 
 
 def _silence(scene: Scene, target: int) -> End:
@@ -193,9 +195,9 @@
     return lambda: None
 
 
-def _forget(scene: Scene, target: int) -> End:
+def _drop_history(scene: Scene, target: int) -> End:
     for topic in _TOPICS:
-        scene.cluster.log.forget(topic)
+        scene.cluster.log.drop_history(topic)
     return lambda: None
 
 
@@ -240,7 +242,7 @@
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
@@ -258,10 +260,10 @@
 
 def _take_orders_late(scene: Scene, target: int) -> End:
     server = scene.server(target)
-    server.lateness = servers.Lateness(grant_ratio=1.0)
+    server.order_faults = servers.OrderFaults(grant_ratio=1.0)
 
     def end() -> None:
-        server.lateness = servers.Lateness()
+        server.order_faults = servers.OrderFaults()
 
     return end
 
@@ -270,12 +272,14 @@
     """The operator empties a failure domain of servers."""
     domain = scene.domain(target)
     scene.cluster.evacuate(domain)
-    return lambda: scene.cluster.take_back(domain)
+    return lambda: scene.cluster.end_evacuation(domain)
 
 
-def _ask_deadly(scene: Scene, target: int) -> End:
+def _add_poison_request(scene: Scene, target: int) -> End:
     """From now on callers ask for a request that ends servers."""
-    scene.cluster.fleet.deadly.add(f"/{instances.SERVICE}/{target}".encode())
+    scene.cluster.fleet.poison_targets.add(
+        f"/{instances.SERVICE}/{target}".encode()
+    )
     return lambda: None
 
 
@@ -294,24 +298,26 @@
 
 
 EVACUATION = "evacuation"
-DEADLY = "deadly request"
+POISON = "deadly request"
 
 KINDS = {
     "log cut": Kind(_cut_off_log, 3, disturbs_target=True),
-    "turned away": Kind(_turn_away, 2, disturbs_target=True),
+    "turned away": Kind(_reject, 2, disturbs_target=True),
     "slow to log": Kind(_slow_log, 1, disturbs_target=True),
     "killed": Kind(_kill, 2, disturbs_target=True),
     "frozen": Kind(_freeze, 3, disturbs_target=True),
     # These reach the log, and so are in touch.
     "isolated": Kind(_isolate, 2),
-    "mute": Kind(_mute, 1),
-    "deaf": Kind(_deafen, 1),
-    "log away": Kind(_take_log_away, 1, disturbs_all=True),
-    "topic away": Kind(_take_topic_away, 1, disturbs_all=True),
+    "mute": Kind(_cut_outbound, 1),
+    "deaf": Kind(_cut_inbound, 1),
+    "log away": Kind(_make_log_unavailable, 1, disturbs_all=True),
+    "topic away": Kind(_make_topic_unavailable, 1, disturbs_all=True),
     "connections silent": Kind(
         _silence, 1, disturbs_all=True, is_momentary=True
     ),
-    "history forgotten": Kind(_forget, 1, disturbs_all=True, is_momentary=True),
+    "history forgotten": Kind(
+        _drop_history, 1, disturbs_all=True, is_momentary=True
+    ),
     "change": Kind(_change, 5, is_momentary=True),
     "foreign record": Kind(_write_foreign, 1, is_momentary=True),
     "server crash": Kind(_crash_server, 3),
@@ -321,7 +327,7 @@
     "orders late": Kind(_take_orders_late, 1),
     # Drawn apart from the others.
     EVACUATION: Kind(_evacuate, 0),
-    DEADLY: Kind(_ask_deadly, 0, is_momentary=True),
+    POISON: Kind(_add_poison_request, 0, is_momentary=True),
 }
 
 
@@ -341,18 +347,18 @@
     return (Event(at_s, EVACUATION, rng.choice([0, 1]), for_s),)
 
 
-_DEADLY_SHARE = 0.5
+_POISON_SHARE = 0.5
 """Half of the simulations contain poison requests. They start early enough that
 three servers crash before the last fault ends."""
 
 
-def draw_deadly(seed: int, length_s: float) -> tuple[Event, ...]:
+def draw_poison_requests(seed: int, length_s: float) -> tuple[Event, ...]:
     """Returns requests that end servers, drawn apart from a seed's events."""
     rng = random.Random(f"deadly {seed}")
-    if rng.random() > _DEADLY_SHARE:
+    if rng.random() > _POISON_SHARE:
         return ()
     return tuple(
-        Event(round(rng.uniform(0.0, length_s / 2), 3), DEADLY, target, 0.0)
+        Event(round(rng.uniform(0.0, length_s / 2), 3), POISON, target, 0.0)
         for target in range(rng.choice([1, 1, 2]))
     )
 
@@ -383,7 +389,7 @@
     return tuple(sorted(events))
 
 
-async def play(
+async def inject(
     scene: Scene, events: tuple[Event, ...], kinds: Mapping[str, Kind] = KINDS
 ) -> None:
     """Lets events happen, counted from now; returns after the last end."""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/instances.py
@@ -1,4 +1,4 @@
-"""One emulated instance: real parts, and its ways to the modelled outside."""
+"""One emulated instance: real parts, with clients of the modelled outside."""
 
 from typing import Any
 from typing import NamedTuple
@@ -26,10 +26,10 @@
 from bridgecross_entry import poison_broadcast
 
 SERVICE = ids.ServiceName("rapor")
-"""The service whose servers own keys."""
+"""The service whose servers own keys exclusively."""
 
 FREE_SERVICE = ids.ServiceName("bulgu")
-"""The service of which any server serves any request."""
+"""The service whose servers can each serve any request."""
 
 HOST = "house.example"
 CONFIGURATION_TOPIC = "emulated-configuration"
@@ -46,18 +46,18 @@
     fields: dict[str, Any]
 
 
-class Recorder(journals.Journal):
-    """A journal that keeps its lines in memory, all of them."""
+class MemoryJournal(journals.Journal):
+    """A journal that keeps all its lines in memory."""
 
     def __init__(
         self, instance: str, clock: clocks.Clock, lines: list[Line]
     ) -> None:
-        """Takes over no output.
+        """Initializes the journal.
 
         Args:
-            instance: The name that stands in each line.
-            clock: For the time of each line.
-            lines: Where lines are added.
+            instance: The name of the instance, which each line contains.
+            clock: The source of each line's time.
+            lines: The list to which lines are added.
         """
         self._instance = instance
         self._clock = clock
@@ -65,31 +65,31 @@
 
     @property
     def dropped_count(self) -> int:
-        """Lines that were not written: none."""
+        """The number of lines that were not written: always 0."""
         return 0
 
     def flush(self) -> None:
-        """Nothing waits."""
+        """Does nothing, because lines are not buffered."""
 
     def _write(
         self, level: journals.Level, event: str, fields: dict[str, Any]
     ) -> None:
-        """Keeps a line."""
+        """Adds a line."""
         at_s = round(self._clock.wall_s(), 4)
         self._lines.append(Line(at_s, self._instance, event, fields))
 
 
 class Warmup(NamedTuple):
-    """How servers are that have started a moment ago."""
+    """How servers that have just started warm up."""
 
-    # For how long they stay so.
+    # How long the warmup takes.
     for_s: float = 3.0
-    # Requests a second that one bears meanwhile.
+    # Requests per second that a server can handle during the warmup.
     rate_per_s: float = 5.8
 
 
 def encode_configuration(version: int, warmup: Warmup | None = None) -> bytes:
-    """Returns a configuration; all of them name the same services."""
+    """Returns an encoded configuration; all contain the same services."""
     return " ".join(str(each) for each in (version, *(warmup or ()))).encode()
 
 
@@ -102,40 +102,40 @@
     def __init__(
         self,
         settings: model.InstanceSettings,
-        way: log_model.LogWay,
-        orders: servers.Orders,
-        requests: servers.Requests,
+        log_client: log_model.LogClient,
+        orders: servers.EmulatedLeaseClient,
+        requests: servers.EmulatedBackendClient,
     ) -> None:
-        """Keeps the instance's ways to the log and to servers."""
+        """Initializes the adapter with the instance's clients."""
         self.settings = settings
-        self._way = way
+        self._log_client = log_client
         self._orders = orders
         self._requests = requests
 
     def make_log(self, metrics: metrics_lib.Metrics) -> logs.PlatformLog:
-        """Returns the way to the log."""
-        return self._way
+        """Returns the client of the log."""
+        return self._log_client
 
     def make_backend_client(self) -> attempts.BackendClient:
         """Returns the client that sends requests."""
         return self._requests
 
     def make_lease_client(self) -> attempts.LeaseClient:
-        """Returns the client that gives orders."""
+        """Returns the client that sends lease orders."""
         return self._orders
 
     def make_caller_codec(self) -> edge.CallerCodec:
-        """Callers come without a wire."""
+        """Is never called: callers call ``EmulatedInstance.request``."""
         raise NotImplementedError
 
     def decode_server(self, record: logs.KeyedRecord) -> model.BackendServer:
-        """Returns the backend server of an entry."""
+        """Returns the backend server of an entry in the server list."""
         return servers.decode_server(record)
 
     def decode_configuration(
         self, record: logs.KeyedRecord
     ) -> model.Configuration | None:
-        """Returns a configuration; None if the record holds none."""
+        """Returns the configuration in a record; None if it has another key."""
         if record.key != CONFIGURATION_KEY:
             return None
         limits = model.CallerLimits(16_384, 1 << 20, 5_000.0, 10_000.0)
@@ -151,11 +151,11 @@
     def decode_evacuation(
         self, record: logs.KeyedRecord
     ) -> evacuations.EvacuationChange | None:
-        """Returns what a record says of a failure domain."""
+        """Returns the evacuation change in a record; None if it has none."""
         if not record.key.startswith(EVACUATION_PREFIX):
             return None
         if record.value not in (b"", b"{}"):
-            raise ValueError(f"{record.value!r} is no evacuation")
+            raise ValueError(f"{record.value!r} is not a valid evacuation")
         domain = record.key.removeprefix(EVACUATION_PREFIX)
         return evacuations.EvacuationChange(domain, bool(record.value))
 
@@ -163,7 +163,7 @@
 def _make_service(
     name: ids.ServiceName, warmup: Warmup | None, *, keyed: bool
 ) -> model.Service:
-    """Returns what holds for a service."""
+    """Returns the settings of a service."""
     if warmup is None:
         return model.Service(name, 130, keyed=keyed, warm_ms=0.0)
     return model.Service(
@@ -178,7 +178,7 @@
 
 
 def _make_route(service: ids.ServiceName) -> model.Route:
-    """Returns the route to a service, which the path begins with."""
+    """Returns the route to a service; the service's name begins its paths."""
     return model.Route(
         name=service,
         host=HOST,
@@ -193,14 +193,14 @@
 
 
 class EmulatedInstance:
-    """One life of an instance's process."""
+    """One process of an instance."""
 
     def __init__(
         self,
         settings: model.InstanceSettings,
-        way: log_model.LogWay,
-        orders: servers.Orders,
-        requests: servers.Requests,
+        log_client: log_model.LogClient,
+        orders: servers.EmulatedLeaseClient,
+        requests: servers.EmulatedBackendClient,
         network: networks.Network,
         host: virtual.Host,
         clock: clocks.Clock,
@@ -209,23 +209,23 @@
         """Builds the parts; nothing runs yet.
 
         Args:
-            settings: What the platform tells the instance.
-            way: Its way to the log.
-            orders: Its way to the servers with orders.
-            requests: Its way to the servers with requests.
-            network: Leads to the other instances.
-            host: Where it runs.
+            settings: The settings that the platform gives to the instance.
+            log_client: The client of the log.
+            orders: The client that sends lease orders to servers.
+            requests: The client that sends requests to servers.
+            network: The network to the other instances.
+            host: The host on which it runs.
             clock: The host's clock.
-            journal: Told of decisions.
+            journal: Logs decisions.
         """
         self.settings = settings
-        self.way = way
+        self.log_client = log_client
         self.host = host
-        self.is_dead = False
+        self.is_killed = False
         own = settings.peer_address
         self._network = network
         self.parts = assembly.Assembly(
-            _Adapter(settings, way, orders, requests),
+            _Adapter(settings, log_client, orders, requests),
             clock,
             journal,
             lambda peer: networks.PeerLink(network, own, peer),
@@ -233,13 +233,13 @@
 
     @property
     def configuration_version(self) -> int | None:
-        """The version that is in force here; None before the first."""
+        """The version of the configuration in force; None before the first."""
         configuration = self.parts.cluster_state.configuration
         return configuration.version if configuration else None
 
     async def run(self) -> None:
         """Runs until cancelled."""
-        context = virtual.enter(self.host)
+        context = virtual.enter_host(self.host)
         self._server = self.parts.cluster_tasks.make_peer_server()
         own = self.settings.peer_address
         self._network.listen(own, self._answer, context)
@@ -247,7 +247,7 @@
             self.parts.start(tasks)
 
     async def _answer(self, path: bytes, body: bytes) -> peers.PeerReply:
-        """Answers another instance."""
+        """Answers a message from another instance."""
         if path == permits.PATH:
             issuer = self.parts.issuer
             return await edge.answer_permit(issuer, self._server, body)
@@ -257,9 +257,9 @@
         return self._server.answer(path, body)
 
     def kill(self) -> None:
-        """Ends the process: nothing of it runs again, or says a word."""
-        self.is_dead = True
-        self.host.stands_still = True
+        """Kills the process: none of its tasks runs or sends anything again."""
+        self.is_killed = True
+        self.host.is_paused = True
         self._network.close(self.settings.peer_address)
 
     async def request(self, request: attempts.EntryRequest) -> outcomes.Outcome:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/log_model.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/log_model.py
@@ -1,8 +1,8 @@
-"""The platform's log as the instances meet it, and how it fails them.
+"""A model of the platform's log and of its faults.
 
-``LogModel`` is the log itself. Each instance has a ``LogWay`` of its own, with
-the connections that it keeps: the way may be cut, its connections may go
-silent for good, and the log may turn the instance away.
+``LogModel`` is the log itself. Each instance has a ``LogClient`` of its own
+with a pool of connections. The link of a client can be cut, its connections can
+become permanently silent, and the log can reject the instance.
 """
 
 import collections
@@ -23,33 +23,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogSettings:
-    """How the log answers, and how instances call it."""
+    """Latencies of the log, and timeouts of its clients."""
 
     # From a call's arrival to its answer; an append takes 1 ms of it.
     answer_s: float = 0.004
     append_s: float = 0.001
-    # One way, to the log and back.
+    # The latency of the link to the log, in each direction.
     link_s: float = 0.0005
-    # A call that waits for a record while one is being appended may miss it,
-    # and is answered only when its time to wait is over.
+    # Whether a call that waits for a record may miss one that is being appended
+    # at that moment, so that it is answered only when its wait time is over.
     misses_appends: bool = True
-    # How long instances wait beyond a call's own wait, and for a connection;
-    # how long they keep idle ones. As the platform's client does.
+    # How long clients wait for an answer in addition to a call's own wait time,
+    # how long for a connection, and how long they keep idle connections. The
+    # same as in the platform's client.
     call_timeout_s: float = 0.8
     connect_timeout_s: float = 0.5
     kept_idle_s: float = 1.0
 
 
 class LogModel:
-    """The log: topics of records, in order."""
+    """The log: topics, each with an ordered list of records."""
 
     def __init__(self, settings: LogSettings) -> None:
-        """Holds nothing."""
+        """Initializes an empty log."""
         self.settings = settings
-        # Topics that no call is answered about.
-        self.away_topics: set[str] = set()
-        self.is_away = False
-        # Told of each record that instances append, by its topic.
+        # Topics for which no call is answered.
+        self.unavailable_topics: set[str] = set()
+        self.is_unavailable = False
+        # Called with the topic of each record that an instance appends.
         self.on_appended: Callable[[str], None] = lambda _: None
         self._records: dict[str, list[logs.KeyedRecord]]
         self._records = collections.defaultdict(list)
@@ -67,8 +68,8 @@
         self._appended[topic].notify()
         return self.end(topic) - 1
 
-    def forget(self, topic: str) -> None:
-        """Drops the history; the newest record of each key stays."""
+    def drop_history(self, topic: str) -> None:
+        """Drops the history, but keeps the newest record of each key."""
         self._first[topic] = self.end(topic)
 
     def newest(self, topic: str) -> logs.Newest:
@@ -89,43 +90,44 @@
         return logs.Batch(records, offset + len(records), self.end(topic))
 
     async def _wait_for_record(self, topic: str, wait_s: float) -> None:
-        """Waits until a record comes, or the time is over."""
+        """Waits for a new record, at most for the given time."""
         begun = anyio.current_time()
         if self.settings.misses_appends:
-            # What is appended just now goes unnoticed.
+            # A record that is appended meanwhile goes unnoticed.
             await anyio.sleep(min(self.settings.append_s, wait_s))
         left_s = begun + wait_s - anyio.current_time()
         await self._appended[topic].wait(max(left_s, 0.0))
 
 
 class _Connection:
-    """A connection that is kept between calls."""
+    """A connection that is reused by later calls."""
 
     def __init__(self) -> None:
         self.is_silent = False
         self.used_s = 0.0
 
 
-class LogWay:
-    """A ``logs.PlatformLog``: one instance's way to the log."""
+class LogClient:
+    """A ``logs.PlatformLog``: one instance's client of the log."""
 
     def __init__(self, model: LogModel, clock: clocks.Clock) -> None:
-        """Has no connection yet.
+        """Initializes the client without connections.
 
         Args:
             model: The log.
             clock: The instance's clock.
         """
-        # Whether no byte passes; what is under way waits for the end of it.
+        # Whether the link is cut; bytes in transit wait until it is healed.
         self.is_cut = False
-        # Whether the log turns this instance away, and about which topics.
-        self.turned_away = False
-        self.turned_away_topics: set[str] = set()
-        # How many times as long answers take.
+        # Whether the log rejects all calls of this instance, and the topics for
+        # which it rejects them.
+        self.rejected = False
+        self.rejected_topics: set[str] = set()
+        # The factor by which answers take longer.
         self.slow_ratio = 1.0
-        # How much later the log does what this instance appends, which gets no
-        # answer then; None if all is well.
-        self.append_late_s: float | None = None
+        # The delay with which the log carries out this instance's appends. They
+        # get no answer then. None if there is no such fault.
+        self.append_delay_s: float | None = None
         self.call_count = 0
         self._model = model
         self._clock = clock
@@ -134,16 +136,16 @@
         self._healed = notifier.Notifier()
 
     def cut(self) -> None:
-        """Lets no byte pass."""
+        """Cuts the link in both directions."""
         self.is_cut = True
 
     def heal(self) -> None:
-        """Lets bytes pass again, also those that were held up."""
+        """Heals the link, and delivers the bytes that were held up."""
         self.is_cut = False
         self._healed.notify()
 
     def silence(self) -> None:
-        """Makes all open connections silent for good; new ones work."""
+        """Makes all open connections permanently silent; new ones work."""
         for connection in [*self._idle, *self._busy]:
             connection.is_silent = True
 
@@ -185,7 +187,7 @@
         return result
 
     async def put(self, topic: str, record: logs.KeyedRecord) -> bool:
-        """Appends a record whatever came before; returns whether it is in."""
+        """Appends a record unconditionally; returns whether it was appended."""
 
         def work() -> bool:
             self._model.add(topic, record)
@@ -196,13 +198,13 @@
     def _delay(
         self, work: Callable[[], _Result]
     ) -> Callable[[], Awaitable[_Result]]:
-        """Returns a change of the log as it is done for this instance."""
+        """Wraps a change of the log, to apply ``append_delay_s`` to it."""
 
         async def delayed() -> _Result:
-            late_s = self.append_late_s
+            late_s = self.append_delay_s
             if late_s is None:
                 return work()
-            # It is done whether the caller still waits or not.
+            # The change is made whether or not the caller is still waiting.
             work_lib.call_later(late_s, work)
             await anyio.sleep_forever()
             raise AssertionError
@@ -215,7 +217,7 @@
         work: Callable[[], Awaitable[_Result]],
         wait_s: float = 0.0,
     ) -> _Result | logs.Unreachable:
-        """Makes one call, as the platform's client does."""
+        """Makes one call, in the same way as the platform's client."""
         self.call_count += 1
         settings = self._model.settings
         connection = self._take_idle()
@@ -232,7 +234,7 @@
         finally:
             self._busy.discard(connection)
         if scope.cancelled_caught:
-            # Idle ones may have gone silent as well.
+            # Idle connections may have become silent as well.
             self._idle.clear()
             return result
         connection.used_s = self._clock.monotonic_s()
@@ -240,7 +242,7 @@
         return result
 
     def _take_idle(self) -> _Connection | None:
-        """Returns a kept connection that has not been idle for too long."""
+        """Returns an idle connection that has not expired; None if none is."""
         oldest_s = self._clock.monotonic_s() - self._model.settings.kept_idle_s
         while self._idle:
             connection = self._idle.pop()
@@ -249,7 +251,7 @@
         return None
 
     async def _connects(self) -> bool:
-        """Whether a connection can be made; a lost first packet stays lost."""
+        """Whether a connection can be opened; a lost SYN is not sent again."""
         settings = self._model.settings
         if self.is_cut:
             await anyio.sleep(settings.connect_timeout_s)
@@ -263,12 +265,15 @@
         connection: _Connection,
         work: Callable[[], Awaitable[_Result]],
     ) -> _Result | logs.Unreachable:
-        """Carries a call to the log, and its answer back."""
+        """Sends a call to the log, and returns its answer."""
         settings = self._model.settings
         await self._cross(connection)
-        if self._model.is_away or topic in self._model.away_topics:
+        if (
+            self._model.is_unavailable
+            or topic in self._model.unavailable_topics
+        ):
             await anyio.sleep_forever()
-        if self.turned_away or topic in self.turned_away_topics:
+        if self.rejected or topic in self.rejected_topics:
             result: _Result | logs.Unreachable = logs.Unreachable("turned away")
         else:
             result = await work()
@@ -277,7 +282,7 @@
         return result
 
     async def _cross(self, connection: _Connection) -> None:
-        """Waits until bytes have crossed the link."""
+        """Waits until bytes have crossed the link in one direction."""
         await anyio.sleep(self._model.settings.link_s)
         if connection.is_silent:
             await anyio.sleep_forever()
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
@@ -38,7 +38,7 @@
 _KILL_AFTER_S = 0.002
 
 
-def _ask(scene: faults.Scene, target: int) -> faults.End:
+def _send_requests(scene: faults.Scene, target: int) -> faults.End:
     asked = traffic.Traffic(
         scene.cluster, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
     )
@@ -46,7 +46,7 @@
     return asked.stop
 
 
-def _heat(scene: faults.Scene, target: int) -> faults.End:
+def _start_hot_range(scene: faults.Scene, target: int) -> faults.End:
     first_key = target * _HOT_STEP % keymap.LAST_KEY
     last_key = first_key + _HOT_KEYS - 1
     asked = traffic.Traffic(scene.cluster, first_key, last_key, _HOT_RATE_PER_S)
@@ -76,11 +76,11 @@
 def _delay_appends(
     scene: faults.Scene, target: int, late_s: float
 ) -> faults.End:
-    way = scene.instance(target).way
-    way.append_late_s = late_s
+    log_client = scene.instance(target).log_client
+    log_client.append_delay_s = late_s
 
     def end() -> None:
-        way.append_late_s = None
+        log_client.append_delay_s = None
 
     return end
 
@@ -92,7 +92,7 @@
 
     def kill() -> None:
         leader = scene.cluster.leader
-        if not leader.is_dead:
+        if not leader.is_killed:
             leader.kill()
             killed.append(leader)
 
@@ -112,25 +112,25 @@
 
 
 def _delay_orders(
-    scene: faults.Scene, target: int, lateness: servers.Lateness
+    scene: faults.Scene, target: int, order_faults: servers.OrderFaults
 ) -> faults.End:
     server = scene.server(target)
-    server.lateness = lateness
+    server.order_faults = order_faults
 
     def end() -> None:
-        server.lateness = servers.Lateness()
+        server.order_faults = servers.OrderFaults()
 
     return end
 
 
 def _delay_some(scene: faults.Scene, target: int) -> faults.End:
-    lateness = servers.Lateness(_LATE_RATIO, _LATE_RATIO)
-    return _delay_orders(scene, target, lateness)
+    order_faults = servers.OrderFaults(_LATE_RATIO, _LATE_RATIO)
+    return _delay_orders(scene, target, order_faults)
 
 
 def _delay_releases(scene: faults.Scene, target: int) -> faults.End:
-    lateness = servers.Lateness(release_ratio=1.0)
-    return _delay_orders(scene, target, lateness)
+    order_faults = servers.OrderFaults(release_ratio=1.0)
+    return _delay_orders(scene, target, order_faults)
 
 
 def _silence_server(scene: faults.Scene, target: int) -> faults.End:
@@ -143,7 +143,7 @@
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
@@ -188,12 +188,12 @@
     return end
 
 
-def _cut_way(scene: faults.Scene, target: int) -> faults.End:
+def _cut_requests(scene: faults.Scene, target: int) -> faults.End:
     """A server hears nothing of one instance."""
     network = scene.cluster.network
     pair = _find_pair(scene, target)
     network.cut(*pair)
-    return lambda: network.mend(*pair)
+    return lambda: network.undo_cut(*pair)
 
 
 def _cut_answers(scene: faults.Scene, target: int) -> faults.End:
@@ -201,10 +201,10 @@
     network = scene.cluster.network
     sender, receiver = _find_pair(scene, target)
     network.cut(receiver, sender)
-    return lambda: network.mend(receiver, sender)
+    return lambda: network.undo_cut(receiver, sender)
 
 
-def _part(scene: faults.Scene, target: int) -> faults.End:
+def _partition(scene: faults.Scene, target: int) -> faults.End:
     """An instance and a domain of servers see nobody else, nor the log."""
     network = scene.cluster.network
     inside = scene.instance(target)
@@ -218,19 +218,19 @@
     pairs = [*itertools.product(near, far), *itertools.product(far, near)]
     for pair in pairs:
         network.cut(*pair)
-    inside.way.cut()
+    inside.log_client.cut()
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
-        inside.way.heal()
+            network.undo_cut(*pair)
+        inside.log_client.heal()
 
     return end
 
 
-def _mistake_server(scene: faults.Scene, target: int) -> faults.End:
+def _misidentify_server(scene: faults.Scene, target: int) -> faults.End:
     """One instance is told that another server has a server's address."""
-    mistaken = scene.cluster.fleet.mistaken
+    mistaken = scene.cluster.fleet.misidentified
     pair = _find_pair(scene, target)
     mistaken.add(pair)
     return lambda: mistaken.discard(pair)
@@ -245,8 +245,8 @@
 
 
 KINDS = {
-    TRAFFIC: faults.Kind(_ask, 0),
-    HOT_RANGE: faults.Kind(_heat, 0),
+    TRAFFIC: faults.Kind(_send_requests, 0),
+    HOT_RANGE: faults.Kind(_start_hot_range, 0),
     "server joins": faults.Kind(_join_server, 1, is_momentary=True),
     "log answers lost": faults.Kind(_lose_answers, 3, disturbs_target=True),
     "log appends late": faults.Kind(_append_late, 3, disturbs_target=True),
@@ -257,18 +257,18 @@
     "releases late": faults.Kind(_delay_releases, 2),
     "server says nothing": faults.Kind(_silence_server, 2),
     "link lossy": faults.Kind(_lose_packets, 2),
-    "server deaf to one": faults.Kind(_cut_way, 2),
+    "server deaf to one": faults.Kind(_cut_requests, 2),
     "server mute to one": faults.Kind(_cut_answers, 2),
-    "parted": faults.Kind(_part, 3, disturbs_target=True),
+    "parted": faults.Kind(_partition, 3, disturbs_target=True),
     # These are drawn apart.
     LOSSY: faults.Kind(_lose_all_around, 0),
-    MISTAKEN: faults.Kind(_mistake_server, 0),
+    MISTAKEN: faults.Kind(_misidentify_server, 0),
     UNLISTED: faults.Kind(
         _unlist_instance, 0, disturbs_target=True, is_momentary=True
     ),
 }
 
-_BESIDE = {
+_OTHER_WEIGHTS = {
     "log cut": 2.0,
     "turned away": 2.0,
     "slow to log": 1.0,
@@ -290,7 +290,7 @@
 """How often faults of other kinds come beside these."""
 
 _HOT_RANGES_COUNT = 3
-_LENGTHS_S = (0.3, 1.0, 2.0, 4.0, 8.0)
+_DURATIONS_S = (0.3, 1.0, 2.0, 4.0, 8.0)
 """Typical lengths of events. The longest outlast all that is waited for: an
 earlier leader's orders, a lease after them, and one look more."""
 
@@ -307,23 +307,25 @@
         at_s = round(rng.uniform(0.0, length_s / 2), 3)
         for_s = round(rng.uniform(*_HOT_FOR_S), 3)
         events.append(faults.Event(at_s, HOT_RANGE, rng.randrange(7), for_s))
-    weights = {name: kind.weight for name, kind in KINDS.items()} | _BESIDE
+    weights = {
+        name: kind.weight for name, kind in KINDS.items()
+    } | _OTHER_WEIGHTS
     kinds = {**faults.KINDS, **KINDS}
     drawn = rng.choices(list(weights), list(weights.values()), k=count)
     for name in drawn:
         # Those who lead, and the first of the servers, are met most often.
         target = rng.choice([0, 0, 0, rng.randrange(_PAIRS_COUNT)])
-        events.append(_place(rng, name, target, kinds[name], length_s))
+        events.append(_draw_event(rng, name, target, kinds[name], length_s))
     return tuple(sorted(set(events)))
 
 
-def draw_apart(
+def draw_kind(
     seed: int, name: str, length_s: float
 ) -> tuple[faults.Event, ...]:
     """Returns events of one kind, drawn apart from a seed's other events."""
     rng = random.Random(f"{name} {seed}")
     return tuple(
-        _place(
+        _draw_event(
             rng,
             name,
             rng.choice([0, rng.randrange(_PAIRS_COUNT)]),
@@ -334,7 +336,7 @@
     )
 
 
-def _place(
+def _draw_event(
     rng: random.Random,
     name: str,
     target: int,
@@ -342,7 +344,7 @@
     length_s: float,
 ) -> faults.Event:
     """Returns an event of a kind at a random time."""
-    for_s = rng.choice(_LENGTHS_S) * rng.uniform(0.5, 1.5)
+    for_s = rng.choice(_DURATIONS_S) * rng.uniform(0.5, 1.5)
     at_s = round(rng.uniform(0.0, length_s - min(for_s, length_s / 2)), 3)
     return faults.Event(
         at_s, name, target, 0.0 if kind.is_momentary else round(for_s, 3)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/network.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/network.py
@@ -1,4 +1,4 @@
-"""Links between instances, which delay, hold back or lose what they carry."""
+"""The links between hosts, with delays, cuts and packet loss."""
 
 import asyncio
 import collections
@@ -16,52 +16,52 @@
 from bridgecross_entry import peers
 
 Answer = Callable[[bytes, bytes], Awaitable[peers.PeerReply]]
-"""Answers a message by its path and body."""
+"""Answers a message, given its path and body."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """How links behave while nothing is wrong with them."""
+    """The behavior of links without faults, and retransmission."""
 
-    # One way between two instances.
+    # The latency between two hosts, in each direction.
     link_s: float = 0.0005
-    # After this time a packet that was lost is sent again; the time doubles.
+    # After this time a lost packet is sent again; the time doubles each time.
     resend_s: float = 0.2
 
 
-_ANSWERING: set[asyncio.Task[None]] = set()
-"""Tasks that make answers; the loop alone would not keep them."""
+_ANSWER_TASKS: set[asyncio.Task[None]] = set()
+"""Running answers; the event loop keeps only weak references to its tasks."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Process:
-    """What listens at an address."""
+    """A process that listens at an address."""
 
     answer: Answer
-    # In which its callbacks run.
+    # The context in which its callbacks run.
     context: contextvars.Context
 
 
 class Network:
-    """All links between instances."""
+    """All links between hosts."""
 
     def __init__(self, settings: NetworkSettings) -> None:
-        """Leads nowhere yet."""
+        """Initializes the network without processes."""
         self.settings = settings
         self._processes: dict[model.Address, _Process] = {}
-        # How often each direction is cut at the moment.
+        # The number of cuts in each direction that are in effect.
         self._cut: collections.Counter[tuple[model.Address, model.Address]]
         self._cut = collections.Counter()
-        # The part of the packets that is lost, by direction.
+        # The ratio of packets that are lost, by direction.
         self._lost_ratio: dict[tuple[model.Address, model.Address], float] = {}
         self._rng = random.Random(1)
         self._healed = notifier.Notifier()
-        # Counts up each time that all open connections go silent.
+        # How often all open connections have been made silent.
         self.silenced_count = 0
-        # Messages that arrived, by their path, and the bytes of them and of
-        # their answers, less heads.
-        self.carried_count: collections.Counter[str] = collections.Counter()
-        self.carried_bytes: collections.Counter[str] = collections.Counter()
+        # The number of messages that arrived, by path, and the bytes of their
+        # bodies and of the bodies of their answers.
+        self.message_count: collections.Counter[str] = collections.Counter()
+        self.message_bytes: collections.Counter[str] = collections.Counter()
 
     def listen(
         self,
@@ -69,45 +69,45 @@
         answer: Answer,
         context: contextvars.Context,
     ) -> None:
-        """Lets a process answer at an address."""
+        """Registers a process that answers at an address."""
         self._processes[address] = _Process(answer, context)
 
     def close(self, address: model.Address) -> None:
-        """Takes a process away; its address refuses connections."""
+        """Removes a process; its address then refuses connections."""
         self._processes.pop(address, None)
 
     def find(self, address: model.Address) -> _Process | None:
-        """Returns what listens at an address."""
+        """Returns the process that listens at an address; None if none does."""
         return self._processes.get(address)
 
     def cut(self, sender: model.Address, receiver: model.Address) -> None:
-        """Lets no byte pass in one direction."""
+        """Cuts a link in one direction."""
         self._cut[sender, receiver] += 1
 
-    def mend(self, sender: model.Address, receiver: model.Address) -> None:
-        """Takes one cut back; bytes that were held up pass after the last."""
+    def undo_cut(self, sender: model.Address, receiver: model.Address) -> None:
+        """Undoes one cut; undoing the last delivers the bytes held up."""
         self._cut[sender, receiver] -= 1
         self._healed.notify()
 
     def heal(self) -> None:
-        """Lets all bytes pass again, also those that were held up."""
+        """Undoes all cuts, and delivers the bytes that were held up."""
         self._cut.clear()
         self._healed.notify()
 
     def lose(
         self, sender: model.Address, receiver: model.Address, ratio: float
     ) -> None:
-        """Loses a part of the packets in one direction from now on."""
+        """Sets the ratio of packets that are lost in one direction."""
         self._lost_ratio[sender, receiver] = ratio
 
     def silence(self) -> None:
-        """Makes all open connections silent for good; new ones work."""
+        """Makes all open connections permanently silent; new ones work."""
         self.silenced_count += 1
 
     async def cross(
         self, sender: model.Address, receiver: model.Address
     ) -> None:
-        """Waits until bytes have crossed a link."""
+        """Waits until bytes have crossed a link in one direction."""
         await anyio.sleep(self.settings.link_s)
         lost_ratio = self._lost_ratio.get((sender, receiver), 0.0)
         resend_s = self.settings.resend_s
@@ -124,17 +124,17 @@
     def __init__(
         self, network: Network, sender: model.Address, receiver: model.Address
     ) -> None:
-        """Is not connected yet."""
+        """Initializes the connection without opening it."""
         self._network = network
         self._sender = sender
         self._receiver = receiver
-        # The count of silences when it was connected; None if it is not.
+        # ``silenced_count`` when the connection was opened; None if it is not.
         self._connected_at: int | None = None
 
     async def exchange(
         self, request: bytes, accepts: exchanges.Accepts
     ) -> exchanges.Result:
-        """Sends one message; the caller bounds the time by cancelling."""
+        """Sends one message; the caller limits the time by cancelling."""
         if self._connected_at is None:
             self._connected_at = self._network.silenced_count
         try:
@@ -144,7 +144,7 @@
             raise
 
     async def _exchange(self, request: bytes) -> exchanges.Result:
-        """Carries a message and its answer."""
+        """Sends a message, and returns its answer."""
         if self._connected_at != self._network.silenced_count:
             await anyio.sleep_forever()
         await self._network.cross(self._sender, self._receiver)
@@ -152,17 +152,17 @@
         if process is None:
             return exchanges.Unsent("connection refused", refused=True)
         path = request.split(b" ", 2)[1].decode()
-        self._network.carried_count[path] += 1
+        self._network.message_count[path] += 1
         body = request.partition(b"\r\n\r\n")[2]
-        self._network.carried_bytes[path] += len(body)
+        self._network.message_bytes[path] += len(body)
         reply = await _answer(process, request)
-        self._network.carried_bytes[path] += len(reply.body)
+        self._network.message_bytes[path] += len(reply.body)
         await self._network.cross(self._receiver, self._sender)
         return exchanges.Reply(reply.status, (), reply.body)
 
 
 async def _answer(process: _Process, request: bytes) -> peers.PeerReply:
-    """Lets a process answer, once its host runs."""
+    """Returns the answer of a process; if its host is paused, once resumed."""
     head, _, body = request.partition(b"\r\n\r\n")
     path = head.split(b" ", 2)[1]
     loop = asyncio.get_running_loop()
@@ -175,8 +175,8 @@
 
     def begin() -> None:
         task = loop.create_task(answer(), context=process.context)
-        _ANSWERING.add(task)
-        task.add_done_callback(_ANSWERING.discard)
+        _ANSWER_TASKS.add(task)
+        task.add_done_callback(_ANSWER_TASKS.discard)
 
     loop.call_soon(begin, context=process.context)
     return await answered
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/ownership_model.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/ownership_model.py
@@ -26,7 +26,7 @@
 
 _SERVERS = (0, 1)
 _LEADERS = (0, 1)
-_NOBODY = -1
+_NO_SERVER = -1
 _SERVER_VERBS = ("ends", "leaves", "starts again")
 _LEADER_VERBS = (
     "claims",
@@ -93,7 +93,7 @@
 
     leads: bool = False
     confirmed_ticks: int = 0
-    known: Map = Map(_NOBODY, 0, _NOBODY)
+    known: Map = Map(_NO_SERVER, 0, _NO_SERVER)
     # For how long each server may hold the key by orders of this instance.
     wait_ticks: tuple[int, int] = (0, 0)
     # For how long more an earlier leader's orders may be given or taken.
@@ -166,14 +166,14 @@
         Leader(
             leads=True,
             confirmed_ticks=CONFIRMED_TICKS,
-            known=Map(0, 1, _NOBODY),
+            known=Map(0, 1, _NO_SERVER),
             wait_ticks=(_WAIT_TICKS, 0),
             is_proved=True,
             is_given=True,
         ),
         Leader(),
     ),
-    Map(0, 1, _NOBODY),
+    Map(0, 1, _NO_SERVER),
     0,
     True,
     frozenset(),
@@ -387,8 +387,8 @@
         known=state.log,
         wait_ticks=(wait + earlier, wait + earlier),
         earlier_ticks=earlier,
-        is_proved=state.log.prior == _NOBODY,
-        is_given=state.log.prior == _NOBODY,
+        is_proved=state.log.prior == _NO_SERVER,
+        is_given=state.log.prior == _NO_SERVER,
         runs=(state.servers[0].run, state.servers[1].run),
     )
     return _with_leader(state, index, claiming)._replace(claimed_by=index)
@@ -410,7 +410,7 @@
     if runs == leader.runs or not state.log_is_up:
         return
     prior = leader.known.prior
-    has_started = prior != _NOBODY and runs[prior] != leader.runs[prior]
+    has_started = prior != _NO_SERVER and runs[prior] != leader.runs[prior]
     is_proved = leader.is_proved or (rules.start_is_proof and has_started)
     told = leader._replace(runs=runs, is_proved=is_proved)
     yield Step(
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
@@ -15,30 +15,30 @@
 from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import faults
 from bridgecross_emulator import instances
-from bridgecross_emulator import moving
+from bridgecross_emulator import move_faults
 from bridgecross_emulator import virtual
 
 FORMAT = "bridgecross-schedule-1"
 """Stands in each kept schedule; another version is refused."""
 
-_KINDS = {**faults.KINDS, **moving.KINDS}
+_KINDS = {**faults.KINDS, **move_faults.KINDS}
 _EVENTS_COUNT = 14
 _LENGTH_S = 16.0
 _SETTLE_S = 6.0
-_QUIET_S = checks.SERVED_AGAIN_WITHIN_S
+_RECOVERY_S = checks.SERVED_AGAIN_WITHIN_S
 
 
-class Played(NamedTuple):
+class SimulationResult(NamedTuple):
     """What came of one cluster."""
 
     violations: tuple[checks.Violation, ...]
     lines: tuple[instances.Line, ...]
 
 
-def play(
+def simulate(
     events: tuple[faults.Event, ...],
     settings: clusters.ClusterSettings | None = None,
-) -> Played:
+) -> SimulationResult:
     """Plays one cluster in virtual time.
 
     Args:
@@ -52,12 +52,12 @@
 
     random.seed(chosen.seed)
 
-    async def main() -> Played:
+    async def main() -> SimulationResult:
         async with anyio.create_task_group() as tasks:
             cluster = clusters.Cluster(chosen, environment, tasks)
             found = await _watch(cluster, events, tasks)
             # Tasks are cancelled in no order that a seed could tell.
-            played = Played(tuple(found), tuple(cluster.lines))
+            played = SimulationResult(tuple(found), tuple(cluster.lines))
             cluster.stop()
         return played
 
@@ -76,17 +76,17 @@
     evacuations = checks.EvacuationCheck(scene)
     tasks.start_soon(configurations.run)
     tasks.start_soon(evacuations.run)
-    tasks.start_soon(callers.DeadlyCallers(cluster, len(events)).run)
-    await faults.play(scene, events, _KINDS)
+    tasks.start_soon(callers.PoisonCallers(cluster, len(events)).run)
+    await faults.inject(scene, events, _KINDS)
     calm_s = cluster.now_s
-    await anyio.sleep(_QUIET_S - checks.TOPICS_KNOWN_WITHIN_S)
+    await anyio.sleep(_RECOVERY_S - checks.TOPICS_KNOWN_WITHIN_S)
     ends = checks.find_ends(cluster)
     await anyio.sleep(checks.TOPICS_KNOWN_WITHIN_S)
     return [
         *configurations.violations,
         *evacuations.violations,
         *checks.check_owners(cluster),
-        *checks.check_deadly(cluster, calm_s),
+        *checks.check_poison_requests(cluster, calm_s),
         *checks.check_handovers(cluster),
         *checks.check_topics(cluster, ends),
         *checks.check_served(cluster),
@@ -160,7 +160,7 @@
     return ""
 
 
-class Found(NamedTuple):
+class FailedSeed(NamedTuple):
     """A seed whose cluster broke a promise."""
 
     seed: int
@@ -176,48 +176,48 @@
     return faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
-def draw_beside_planned(seed: int) -> tuple[faults.Event, ...]:
+def draw_with_planned(seed: int) -> tuple[faults.Event, ...]:
     """Returns the events of a seed, including planned evacuations."""
     return tuple(sorted(draw(seed) + faults.draw_planned(seed, _LENGTH_S)))
 
 
-def draw_beside_deadly(seed: int) -> tuple[faults.Event, ...]:
+def draw_all(seed: int) -> tuple[faults.Event, ...]:
     """Returns all events of a seed's cluster, and requests that end servers."""
-    deadly = faults.draw_deadly(seed, _LENGTH_S)
-    return tuple(sorted(draw_beside_planned(seed) + deadly))
+    deadly = faults.draw_poison_requests(seed, _LENGTH_S)
+    return tuple(sorted(draw_with_planned(seed) + deadly))
 
 
-def draw_moving(seed: int) -> tuple[faults.Event, ...]:
+def draw_key_moves(seed: int) -> tuple[faults.Event, ...]:
     """Returns the events of a cluster whose keys move and are asked for."""
-    return moving.draw(seed, _EVENTS_COUNT, _LENGTH_S)
+    return move_faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
-def _draw_beside_moving(name: str) -> Draw:
+def _draw_key_moves_with(name: str) -> Draw:
     """Returns what draws the same, and events of a kind that is drawn apart."""
 
     def draw_both(seed: int) -> tuple[faults.Event, ...]:
-        apart = moving.draw_apart(seed, name, _LENGTH_S)
-        return tuple(sorted(draw_moving(seed) + apart))
+        apart = move_faults.draw_kind(seed, name, _LENGTH_S)
+        return tuple(sorted(draw_key_moves(seed) + apart))
 
     return draw_both
 
 
 DRAWS = {
-    "all": draw_beside_deadly,
-    "planned": draw_beside_planned,
-    "moving": draw_moving,
-    "lossy": _draw_beside_moving(moving.LOSSY),
-    "mistaken": _draw_beside_moving(moving.MISTAKEN),
-    "unlisted": _draw_beside_moving(moving.UNLISTED),
+    "all": draw_all,
+    "planned": draw_with_planned,
+    "moving": draw_key_moves,
+    "lossy": _draw_key_moves_with(move_faults.LOSSY),
+    "mistaken": _draw_key_moves_with(move_faults.MISTAKEN),
+    "unlisted": _draw_key_moves_with(move_faults.UNLISTED),
 }
 """What seeds may stand for, by name."""
 
 
-def hunt(
+def search_seeds(
     seeds: range,
     until_s: float | None = None,
-    draw_events: Draw = draw_beside_deadly,
-) -> tuple[int, list[Found]]:
+    draw_events: Draw = draw_all,
+) -> tuple[int, list[FailedSeed]]:
     """Plays one cluster for each seed.
 
     Args:
@@ -233,8 +233,8 @@
     for seed in seeds:
         if until_s is not None and time.monotonic() > until_s:
             break
-        violations = play(draw_events(seed)).violations
+        violations = simulate(draw_events(seed)).violations
         played_count += 1
         if violations:
-            found.append(Found(seed, violations))
+            found.append(FailedSeed(seed, violations))
     return played_count, found
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
@@ -40,7 +40,7 @@
     late_s: float = 2.0
     # Whoever gives an order has given it up after this time. One that arrives
     # later was held up in transit, or on the host of the one who gave it.
-    held_up_s: float = 0.5
+    order_timeout_s: float = 0.5
     # How long a request takes.
     work_s: float = 0.06
     # How long a request that ends its server takes to do so, and how long the
@@ -58,10 +58,10 @@
     token: int
     until_s: float
     # The same by orders that were taken in time; in the past if none was.
-    sure_s: float
+    timely_until_s: float
 
 
-class Lateness(NamedTuple):
+class OrderFaults(NamedTuple):
     """Which orders get no answer, and are carried out late."""
 
     # Parts of the grants and of the releases.
@@ -78,7 +78,7 @@
     first_key: int
 
 
-class Premature(NamedTuple):
+class PrematureGrant(NamedTuple):
     """A key that one server was given while another was at work on it."""
 
     at_s: float
@@ -98,7 +98,7 @@
     # Whether the server was cold.
     is_cold: bool = False
     # Whether the request ends servers.
-    is_deadly: bool = False
+    is_poison: bool = False
 
 
 class Ended(NamedTuple):
@@ -110,7 +110,7 @@
     target: bytes | None
 
 
-class TurnedAway(NamedTuple):
+class Rejection(NamedTuple):
     """A request that a server turned away."""
 
     at_s: float
@@ -144,19 +144,19 @@
         self.answers_leaving = False
         # For how long it wants to be left alone by whoever sends it a request;
         # it turns all of them away. 0 if it works.
-        self.rest_s = 0.0
+        self.backoff_s = 0.0
         # Until when it is cold.
         self.cold_until_s = 0.0
         # Whether its heartbeats reach the log.
         self.reaches_log = True
         # Which orders it takes late.
-        self.lateness = Lateness()
+        self.order_faults = OrderFaults()
         # When it last wrote its entry; None if the entry was removed.
         self.listed_s: float | None = None
         # Set once the run has ended; another run has another.
         self.ended = anyio.Event()
         self._fleet = fleet
-        self.work = work_lib.Workplace(lambda: fleet.now_s)
+        self.work = work_lib.WorkSet(lambda: fleet.now_s)
         self._held: list[Held] = []
         # The highest token that was seen, by range.
         self._seen: list[tuple[int, int, int]] = []
@@ -167,7 +167,7 @@
         return self._fleet.now_s < self.cold_until_s
 
     @property
-    def told_cold_s(self) -> float:
+    def reported_cold_s(self) -> float:
         """For how long it says that it is cold, counted from its start."""
         return max(self.cold_until_s - self._fleet.now_s, 0.0)
 
@@ -175,7 +175,7 @@
     def notice(self) -> attempts.Notice:
         """What it says of itself in its answers."""
         is_leaving = self.is_leaving or self.answers_leaving
-        return attempts.Notice(is_leaving, self.rest_s)
+        return attempts.Notice(is_leaving, self.backoff_s)
 
     def find(self, key: int) -> Held | None:
         """Returns the range of a key that it holds at this moment."""
@@ -210,7 +210,7 @@
         self.ended = anyio.Event()
         self.is_leaving = False
         self.answers_leaving = False
-        self.rest_s = 0.0
+        self.backoff_s = 0.0
         self.cold_until_s = self._fleet.now_s + self._fleet.warmup_s
         self.started_ms = max(int(self._fleet.now_s * 1_000), 1) + 1_000
         self.write_entry()
@@ -237,17 +237,17 @@
             if crosses and seen > token:
                 return attempts.Outranked()
         self._note_seen(first, last, token)
-        sure_s = until_s if timely else -math.inf
+        timely_until_s = until_s if timely else -math.inf
         for known in self.held():
             covers = known.first_key <= first and last <= known.last_key
             if covers and known.token == token:
                 # An order never shortens a lease.
                 until_s = max(until_s, known.until_s)
-                sure_s = max(sure_s, known.sure_s)
+                timely_until_s = max(timely_until_s, known.timely_until_s)
         self._take_out(first, last)
-        held = Held(first, last, token, until_s, sure_s)
+        held = Held(first, last, token, until_s, timely_until_s)
         self._held.append(held)
-        self.work.prolong(first, last, until_s, sure_s)
+        self.work.extend_leases(first, last, until_s, timely_until_s)
         if timely:
             self._fleet.note_grant(self, held)
         return attempts.Granted()
@@ -306,12 +306,12 @@
         self.servers: dict[model.Address, EmulatedServer] = {}
         # What must never be.
         self.overlaps: list[Overlap] = []
-        self.premature: list[Premature] = []
+        self.premature: list[PrematureGrant] = []
         # Pairs of an instance and a server of which the one is told that
         # another server has the other's address.
-        self.mistaken: set[tuple[model.Address, model.Address]] = set()
+        self.misidentified: set[tuple[model.Address, model.Address]] = set()
         # Requests by their target that end each server which runs them.
-        self.deadly: set[bytes] = set()
+        self.poison_targets: set[bytes] = set()
         # Bodies with which those do no harm.
         self.harmless_bodies: set[bytes] = set()
         # Requests by their target that servers answer with an error.
@@ -324,9 +324,11 @@
         self.runs: list[Run] = []
         self.ends: list[Ended] = []
         # All requests that servers turned away.
-        self.turned_away: list[TurnedAway] = []
+        self.rejections: list[Rejection] = []
         # When an answer told an instance first that a server's run leaves.
-        self.told_leaving_s: dict[tuple[model.Address, str, int], float] = {}
+        self.leaving_reported_s: dict[
+            tuple[model.Address, str, int], float
+        ] = {}
         self.network = network
         self._log = log
         self._environment = environment
@@ -349,11 +351,13 @@
         self.servers[address] = server
         server.start()
 
-    def note_told(self, sender: model.Address, server: EmulatedServer) -> None:
+    def record_notice(
+        self, sender: model.Address, server: EmulatedServer
+    ) -> None:
         """Keeps what an answer has told an instance."""
         if server.notice.is_leaving:
             told = (sender, server.name, server.started_ms)
-            self.told_leaving_s.setdefault(told, self.now_s)
+            self.leaving_reported_s.setdefault(told, self.now_s)
 
     def write_entry(self, server: EmulatedServer) -> None:
         """Writes an entry of the list."""
@@ -363,7 +367,7 @@
             logs.KeyedRecord(server.name, encode_server(server)),
         )
 
-    def cool(self, domain: str) -> None:
+    def make_cold(self, domain: str) -> None:
         """Makes the servers of a failure domain cold."""
         for server in self.servers.values():
             if server.domain == domain:
@@ -374,7 +378,7 @@
         """When servers ended, whatever the reason."""
         return [each.at_s for each in self.ends]
 
-    def crash_soon(self, server: EmulatedServer, target: bytes) -> None:
+    def schedule_crash(self, server: EmulatedServer, target: bytes) -> None:
         """Ends a server's run a little later; another run begins after it.
 
         That belongs to no instance: it happens also if the one whose request
@@ -402,7 +406,7 @@
         """Returns the servers that hold a key at this moment."""
         return [s for s in self.servers.values() if s.holds(key)]
 
-    def happens(self, ratio: float) -> bool:
+    def draw_chance(self, ratio: float) -> bool:
         """Draws whether something happens that does so only at times."""
         return ratio >= 1.0 or (ratio > 0.0 and self._rng.random() < ratio)
 
@@ -426,7 +430,7 @@
                 theirs.first_key <= held.last_key
                 and held.first_key <= theirs.last_key
             )
-            if crosses and theirs.sure_s > self.now_s:
+            if crosses and theirs.timely_until_s > self.now_s:
                 overlap = Overlap(
                     round(self.now_s, 3),
                     server.name,
@@ -440,13 +444,13 @@
     ) -> None:
         """Keeps what another server works on."""
         for work in other.work.on(held.first_key, held.last_key):
-            if work.key is not None and work.is_sure(self.now_s):
-                premature = Premature(
+            if work.key is not None and work.has_timely_lease(self.now_s):
+                premature = PrematureGrant(
                     round(self.now_s, 3), server.name, other.name, work.key
                 )
                 self.premature.append(premature)
 
-    async def take_late(
+    async def apply_late(
         self, server: EmulatedServer, take: Callable[[], None]
     ) -> None:
         """Carries an order out late, if the run goes on; never answers.
@@ -492,7 +496,7 @@
         state,
         server.started_ms,
         server.domain,
-        round(server.told_cold_s * 1_000),
+        round(server.reported_cold_s * 1_000),
     )
     return " ".join(str(field) for field in fields).encode()
 
@@ -519,7 +523,7 @@
     )
 
 
-class Orders:
+class EmulatedLeaseClient:
     """An ``attempts.LeaseClient``: one instance's way to the servers."""
 
     def __init__(self, fleet: Fleet, sender: model.Address) -> None:
@@ -551,13 +555,13 @@
         settings = self._fleet.settings
         arrived_s = self._fleet.now_s
         until_s = arrived_s + lease_ms / 1e3 * settings.clock_ratio
-        if self._fleet.happens(found.lateness.grant_ratio):
+        if self._fleet.draw_chance(found.order_faults.grant_ratio):
 
             def take() -> None:
                 found.grant(first_key, last_key, token, until_s, timely=False)
 
-            await self._fleet.take_late(found, take)
-        timely = arrived_s - sent_s <= settings.held_up_s
+            await self._fleet.apply_late(found, take)
+        timely = arrived_s - sent_s <= settings.order_timeout_s
         result = found.grant(first_key, last_key, token, until_s, timely=timely)
         await self._fleet.network.cross(server.address, self._sender)
         self.on_notice(server, found.notice._replace(backoff_s=0.0))
@@ -577,12 +581,12 @@
         found = await self._reach(server)
         if not isinstance(found, EmulatedServer):
             return found
-        if self._fleet.happens(found.lateness.release_ratio):
+        if self._fleet.draw_chance(found.order_faults.release_ratio):
 
             def take() -> None:
                 found.release(first_key, last_key, token)
 
-            await self._fleet.take_late(found, take)
+            await self._fleet.apply_late(found, take)
         run_ended = found.ended
         for work in found.release(first_key, last_key, token):
             await work.ended.wait()
@@ -604,13 +608,16 @@
         found = self._fleet.servers.get(server.address)
         if found is None or not found.is_up:
             return attempts.Refused("connection refused")
-        is_mistaken = (self._sender, server.address) in self._fleet.mistaken
+        is_mistaken = (
+            self._sender,
+            server.address,
+        ) in self._fleet.misidentified
         if found.name != server.name or is_mistaken:
             return attempts.Gone("another server has its address")
         return found
 
 
-class Requests:
+class EmulatedBackendClient:
     """An ``attempts.BackendClient``: one instance's way to the servers."""
 
     def __init__(
@@ -644,7 +651,7 @@
         found = self._fleet.servers.get(server.address)
         if found is None or not found.is_up:
             return None
-        left_s = found.told_cold_s
+        left_s = found.reported_cold_s
         self._kept[server.address] = (found.started_ms, -math.inf)
         await self._fleet.network.cross(server.address, self._sender)
         return left_s
@@ -667,23 +674,23 @@
         if self._kept.get(server.address, (None,))[0] != found.started_ms:
             now_s = self._clock.monotonic_s()
             self._kept[server.address] = (found.started_ms, now_s)
-        if (self._sender, server.address) in self._fleet.mistaken:
+        if (self._sender, server.address) in self._fleet.misidentified:
             return attempts.NotOwner("another")
-        if found.rest_s > 0:
-            return await self._turn_away(server, found)
+        if found.backoff_s > 0:
+            return await self._reject(server, found)
         if not self._may_run(found, request):
             self._hear(server, found)
             return attempts.NotOwner(found.name)
         self._note_run(found, request)
         return await self._run(server, found, request)
 
-    async def _turn_away(
+    async def _reject(
         self, server: model.BackendServer, found: EmulatedServer
     ) -> attempts.Shed:
         """Lets a server that is full turn a request away."""
         now_s = self._fleet.now_s
-        turned_away = TurnedAway(now_s, found.name, self._sender)
-        self._fleet.turned_away.append(turned_away)
+        rejection = Rejection(now_s, found.name, self._sender)
+        self._fleet.rejections.append(rejection)
         await self._fleet.network.cross(server.address, self._sender)
         self._hear(server, found)
         return attempts.Shed(503)
@@ -710,7 +717,7 @@
     def _hear(self, server: model.BackendServer, found: EmulatedServer) -> None:
         """Takes in what an answer says of its server."""
         if found.name == server.name:
-            self._fleet.note_told(self._sender, found)
+            self._fleet.record_notice(self._sender, found)
             self.on_notice(server, found.notice)
 
     def _may_run(
@@ -734,15 +741,17 @@
             held = server.find(request.key)
         if held is None:
             return server.work.begin(None, work_s)
-        return server.work.begin(request.key, work_s, held.until_s, held.sure_s)
+        return server.work.begin(
+            request.key, work_s, held.until_s, held.timely_until_s
+        )
 
     def _note_run(
         self, server: EmulatedServer, request: attempts.EntryRequest
     ) -> None:
         """Keeps that a request begins to run, and lets it do its harm."""
         fleet = self._fleet
-        is_deadly = (
-            request.target in fleet.deadly
+        is_poison = (
+            request.target in fleet.poison_targets
             and request.body not in fleet.harmless_bodies
         )
         run = Run(
@@ -751,11 +760,11 @@
             self._sender,
             request.target,
             server.is_cold,
-            is_deadly,
+            is_poison,
         )
         fleet.runs.append(run)
-        if is_deadly:
-            fleet.crash_soon(server, request.target)
+        if is_poison:
+            fleet.schedule_crash(server, request.target)
 
     def is_connected(self, server: model.BackendServer) -> bool:
         """Connections cost nothing here."""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/traffic.py
@@ -1,4 +1,4 @@
-"""Callers who keep asking for keys, so that work goes on while they move."""
+"""A steady load of requests for random keys, so that moving keys are in use."""
 
 import random
 
@@ -13,10 +13,10 @@
 from bridgecross_entry import keymap
 
 _WORK_S = (0.05, 0.1, 0.3, 0.3, 0.8, 2.2)
-"""How long requests take: the callers have left before the longest are done,
-which outlast the wait for a release, too."""
+"""Durations of requests. The longest are longer than the callers' timeout and
+than the wait for a release."""
 
-_PATIENCE_MS = 500.0
+_CALLER_TIMEOUT_MS = 500.0
 
 
 class Traffic:
@@ -29,13 +29,13 @@
         last_key: int,
         rate_per_s: float,
     ) -> None:
-        """Asks for nothing yet.
+        """Initializes the load without starting it.
 
         Args:
-            cluster: Is asked.
-            first_key: The first key that is asked for.
-            last_key: The last one.
-            rate_per_s: Requests a second.
+            cluster: The cluster that receives the requests.
+            first_key: The first key of the range.
+            last_key: The last key of the range.
+            rate_per_s: Requests per second.
         """
         self._cluster = cluster
         self._keys = range(first_key, min(last_key, keymap.LAST_KEY) + 1)
@@ -45,27 +45,29 @@
         self._count = 0
 
     def start(self) -> None:
-        """Begins to ask."""
-        self._cluster.run_beside(self._run)
+        """Starts sending requests."""
+        self._cluster.run_in_background(self._run)
 
     def stop(self) -> None:
-        """Asks no more; what was asked goes on."""
+        """Sends no more requests; those already sent continue."""
         self._scope.cancel()
 
     async def _run(self) -> None:
-        """Asks again and again."""
+        """Sends requests until stopped."""
         with self._scope:
             while True:
                 await anyio.sleep(self._rng.expovariate(self._rate_per_s))
                 instance = self._rng.choice(self._cluster.instances)
                 request = self._make_request(instance)
                 if instance.configuration_version:
-                    self._cluster.run_beside(self._ask, instance, request)
+                    self._cluster.run_in_background(
+                        self._send_requests, instance, request
+                    )
 
     def _make_request(
         self, instance: instances.EmulatedInstance
     ) -> attempts.EntryRequest:
-        """Returns a request that is like no other."""
+        """Returns a request with a unique path."""
         self._count += 1
         path = f"/{instances.SERVICE}/{self._keys.start}-{self._count}"
         work_s = str(self._rng.choice(_WORK_S)).encode()
@@ -79,15 +81,15 @@
             body=b"",
             key=self._rng.choice(self._keys),
             received_s=instance.parts.clock.monotonic_s(),
-            caller_timeout_ms=_PATIENCE_MS,
+            caller_timeout_ms=_CALLER_TIMEOUT_MS,
             caller="10.9.0.1",
         )
 
-    async def _ask(
+    async def _send_requests(
         self,
         instance: instances.EmulatedInstance,
         request: attempts.EntryRequest,
     ) -> None:
-        """Sends one request, whose task stands still if its instance does."""
-        virtual.enter(instance.host)
+        """Sends one request; its task is paused together with the instance."""
+        virtual.enter_host(instance.host)
         await instance.request(request)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/virtual.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/virtual.py
@@ -1,8 +1,8 @@
 """Runs asyncio on the virtual time of a simpy environment.
 
 Whenever no task is ready, time jumps to the next timer, so that a minute of
-waiting costs nothing and every run is the same. Tasks belong to the host that
-started them; those of a host that stands still go on once it runs again.
+waiting costs nothing and runs are deterministic. Tasks belong to the host that
+started them; those of a paused host continue when it is resumed.
 """
 
 import asyncio
@@ -24,25 +24,25 @@
 
 
 class Host:
-    """A machine that runs one process, which may stand still."""
+    """A machine that runs one process, and which can be paused."""
 
     def __init__(self) -> None:
-        """Runs."""
-        self.stands_still = False
-        # For how long its machine has been suspended. Neither its steady
-        # clock nor its timers count that time.
+        """Initializes a running host."""
+        self.is_paused = False
+        # How long the machine has been suspended in total. Neither its
+        # monotonic clock nor its timers count that time.
         self.suspended_s = 0.0
-        # What became due while it stood still, in order.
-        self._held: list[asyncio.Handle] = []
+        # Callbacks that became due while the host was paused, in order.
+        self._deferred: list[asyncio.Handle] = []
 
-    def hold(self, handle: asyncio.Handle) -> None:
-        """Keeps a callback until the host runs again."""
-        self._held.append(handle)
+    def defer(self, handle: asyncio.Handle) -> None:
+        """Defers a callback until the host is resumed."""
+        self._deferred.append(handle)
 
-    def run_again(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Runs what became due in the meantime, in order."""
-        self.stands_still = False
-        held, self._held = self._held, []
+    def resume(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Resumes the host, and runs the deferred callbacks in order."""
+        self.is_paused = False
+        held, self._deferred = self._deferred, []
         for handle in held:
             if not handle.cancelled():
                 loop.call_soon(handle._run)
@@ -53,11 +53,11 @@
 )
 
 
-def enter(host: Host) -> contextvars.Context:
-    """Makes the current task, and those that it starts, belong to a host.
+def enter_host(host: Host) -> contextvars.Context:
+    """Assigns the current task, and the tasks that it starts, to a host.
 
     Returns:
-        A context in which callbacks belong to it as well.
+        A context whose callbacks belong to the host as well.
     """
     _HOST.set(host)
     return contextvars.copy_context()
@@ -72,19 +72,19 @@
     """A selector that advances virtual time instead of waiting."""
 
     def __init__(self, environment: simpy.Environment) -> None:
-        """Takes the environment's time from now on."""
+        """Initializes the selector with the time of an environment."""
         super().__init__()
         self._environment = environment
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Advances time by the timeout; raises if nothing will ever happen."""
+        """Advances time by the timeout; raises if no timer is pending."""
         ready = super().select(0)
         if ready or timeout == 0:
             return ready
         if timeout is None:
-            raise RuntimeError("every task waits for ever")
+            raise RuntimeError("deadlock: all tasks wait without a timeout")
         self._environment.run(until=self._environment.now + timeout)
         return []
 
@@ -93,7 +93,7 @@
     """An event loop whose clock is a simpy environment's."""
 
     def __init__(self, environment: simpy.Environment) -> None:
-        """Takes the environment's time from now on."""
+        """Initializes the loop with the time of an environment."""
         self._environment = environment
         super().__init__(_VirtualSelector(environment))
 
@@ -107,12 +107,12 @@
         *args: *Ts,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Runs a callback, once its host runs."""
+        """Runs a callback soon; if its host is paused, once it is resumed."""
         host = _find_host(context)
-        if host is None or not host.stands_still:
+        if host is None or not host.is_paused:
             return super().call_soon(callback, *args, context=context)
         handle = asyncio.Handle(callback, args, self, context)
-        host.hold(handle)
+        host.defer(handle)
         return handle
 
     def call_at(
@@ -122,7 +122,7 @@
         *args: *Ts,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Runs a callback at a time, or once its host runs after that."""
+        """Runs a callback at a time, or when its paused host is resumed."""
         host = _find_host(context)
         if host is None:
             return super().call_at(when, callback, *args, context=context)
@@ -131,10 +131,10 @@
 
         def fire() -> None:
             missed_s = host.suspended_s - begun_s
-            if host.stands_still:
-                # It can still be cancelled, as one that is due can.
+            if host.is_paused:
+                # The timer can still be cancelled before the host is resumed.
                 handle = asyncio.Handle(fire, (), self, context)
-                host.hold(handle)
+                host.defer(handle)
             elif timer.cancelled():
                 return
             elif self.time() < when + missed_s:
@@ -157,9 +157,9 @@
 
 
 class Clock(clocks.SystemClock):
-    """The clock of one host, whose start nobody else knows.
+    """The clock of one host; its monotonic clock has its own origin.
 
-    It reads the host's clocks as it would read a real machine's.
+    It reads the clocks of the host like those of a real machine.
     """
 
     def __init__(
@@ -168,12 +168,13 @@
         started_s: float = 0.0,
         host: Host | None = None,
     ) -> None:
-        """Shows the virtual time, and for how long the host has run.
+        """Initializes the clock.
 
         Args:
-            environment: Whose time it is.
-            started_s: What the steady clock shows at time 0.
-            host: May be suspended; one that never is, if left out.
+            environment: The source of the virtual time.
+            started_s: The reading of the monotonic clock at time 0.
+            host: The host, which may be suspended; if omitted, one that never
+                is.
         """
         super().__init__(self._read)
         self._environment = environment
@@ -181,7 +182,7 @@
         self._host = host or Host()
 
     def _read(self, clock_id: int) -> float:
-        """Returns what one of the host's clocks shows, in seconds."""
+        """Returns the reading of one of the host's clocks, in seconds."""
         now_s = float(self._environment.now)
         if clock_id == time.CLOCK_REALTIME:
             return now_s
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -199,31 +199,31 @@
         _forget_evacuations,
         "an evacuated domain is empty",
         2,
-        search.draw_beside_planned,
+        search.draw_with_planned,
     ),
     "a request is known by who asks": Mutant(
         _know_by_who_asks,
         "three servers end under a request",
         2,
-        search.draw_beside_deadly,
+        search.draw_all,
     ),
     "no lease is waited for": Mutant(_wait_for_no_lease, "one owner a key", 1),
     "no work is waited for": Mutant(
-        _wait_for_no_work, _RESTS, 1, search.draw_moving
+        _wait_for_no_work, _RESTS, 1, search.draw_key_moves
     ),
     "who asked before is forgotten": Mutant(
-        _forget_who_asked_before, _RESTS, 9, search.draw_moving
+        _forget_who_asked_before, _RESTS, 9, search.draw_key_moves
     ),
     "runs are taken for ended": Mutant(
-        _take_runs_for_ended, _RESTS, 1, search.draw_moving
+        _take_runs_for_ended, _RESTS, 1, search.draw_key_moves
     ),
     "no earlier leader is waited for": Mutant(
-        _wait_for_no_earlier_leader, _RESTS, 52, search.draw_moving
+        _wait_for_no_earlier_leader, _RESTS, 52, search.draw_key_moves
     ),
     "orders without a confirmed lead": Mutant(
-        _order_unconfirmed, _RESTS, 35, search.draw_moving
+        _order_unconfirmed, _RESTS, 35, search.draw_key_moves
     ),
     "what moves is moved on": Mutant(
-        _move_what_moves, _RESTS, 17, search.draw_moving
+        _move_what_moves, _RESTS, 17, search.draw_key_moves
     ),
 }
--- a/tests/emulated/test_evacuation.py
+++ b/tests/emulated/test_evacuation.py
@@ -39,7 +39,8 @@
             continue
         touched_s = disturbed_s.get(run.sender, float("-inf"))
         due_s = max(
-            taken_s + IN_FORCE_WITHIN_S, touched_s + troubles.IN_TOUCH_AFTER_S
+            taken_s + IN_FORCE_WITHIN_S,
+            touched_s + troubles.UNDISTURBED_AFTER_S,
         )
         if due_s < run.at_s < until_s:
             late.append(run)
@@ -107,7 +108,7 @@
         assert told
         assert not any(t.is_served for t in told)
         assert {t.outcome.status for t in told} == {503}
-        scene.cluster.take_back("zone-0")
+        scene.cluster.end_evacuation("zone-0")
         await anyio.sleep(6.0)
         assert scene.served_ratio(scene.cluster.now_s - 1.0, b"/") > 0.95
 
@@ -121,7 +122,7 @@
         await anyio.sleep(1.0)
         cluster.evacuate("zone-1")
         await anyio.sleep(8.0)
-        cluster.take_back("zone-0")
+        cluster.end_evacuation("zone-0")
         await anyio.sleep(8.0)
         domain_of = {s.name: s.domain for s in cluster.fleet.servers.values()}
         from_s = begun_s + 1.0 + IN_FORCE_WITHIN_S
@@ -143,12 +144,12 @@
         cluster = scene.cluster
         cluster.evacuate(DOMAIN)
         await anyio.sleep(3.0)
-        cluster.log.is_away = True
+        cluster.log.is_unavailable = True
         await anyio.sleep(2.0)
-        cluster.take_back(DOMAIN)
+        cluster.end_evacuation(DOMAIN)
         cluster.evacuate("zone-2")
-        cluster.log.forget(instances.CONFIGURATION_TOPIC)
-        cluster.log.is_away = False
+        cluster.log.drop_history(instances.CONFIGURATION_TOPIC)
+        cluster.log.is_unavailable = False
         await anyio.sleep(9.0)
         domain_of = {s.name: s.domain for s in cluster.fleet.servers.values()}
         free = [
--- a/tests/emulated/test_first_start.py
+++ b/tests/emulated/test_first_start.py
@@ -38,7 +38,9 @@
                 ]
                 if all(complete):
                     ready_s = min(ready_s, cluster.now_s)
-            calls = sum(each.way.call_count for each in cluster.instances)
+            calls = sum(
+                each.log_client.call_count for each in cluster.instances
+            )
             cluster.stop()
         return calls / _COUNT, ready_s
 
@@ -46,9 +48,9 @@
 
 
 async def _lose_the_log(cluster: clusters.Cluster) -> None:
-    cluster.log.is_away = True
+    cluster.log.is_unavailable = True
     await anyio.sleep(2.0)
-    cluster.log.is_away = False
+    cluster.log.is_unavailable = False
 
 
 async def _kill_the_leader(cluster: clusters.Cluster) -> None:
--- a/tests/emulated/test_handovers.py
+++ b/tests/emulated/test_handovers.py
@@ -29,7 +29,7 @@
     violations = {
         violation
         for events in (_MUTE_LEADER, _LATE_APPEND)
-        for violation in search.play(events).violations
+        for violation in search.simulate(events).violations
     }
     assert violations == set()
 
@@ -52,4 +52,4 @@
 
 
 def test_the_holder_of_what_goes_to_an_outranked_server_is_not_forgotten():
-    assert search.play(_ORDERS_OVERTAKE).violations == ()
+    assert search.simulate(_ORDERS_OVERTAKE).violations == ()
--- a/tests/emulated/test_in_force.py
+++ b/tests/emulated/test_in_force.py
@@ -67,11 +67,11 @@
         while cluster.now_s < end_s and waiting:
             for each in list(waiting):
                 touched_s = scene.disturbed_s.get(each, float("-inf"))
-                if cluster.now_s < touched_s + troubles.IN_TOUCH_AFTER_S:
+                if cluster.now_s < touched_s + troubles.UNDISTURBED_AFTER_S:
                     continue
                 waiting.discard(each)
-                stands = each.host.stands_still or each.way.is_cut
-                if stands or each.way.turned_away:
+                stands = each.host.is_paused or each.log_client.is_cut
+                if stands or each.log_client.rejected:
                     continue
                 if (each.configuration_version or 0) < published.version:
                     took_s = cluster.now_s - published.acknowledged_s
--- a/tests/emulated/test_innocent.py
+++ b/tests/emulated/test_innocent.py
@@ -157,12 +157,12 @@
 DEADLY_GAP_S = 0.25
 
 
-async def _ask_deadly(
+async def _add_poison_request(
     scene: crash_scene.Scene, name: str, key: int | None, for_s: float
 ) -> None:
     """Lets callers ask for a request that ends servers."""
     target = f"/{scene.service}/deadly-{name}".encode()
-    scene.cluster.fleet.deadly.add(target)
+    scene.cluster.fleet.poison_targets.add(target)
     with anyio.move_on_after(for_s):
         await scene.ask_from_everywhere(target, DEADLY_GAP_S, key)
 
@@ -180,19 +180,19 @@
 async def _deadly_elsewhere(scene: crash_scene.Scene) -> None:
     """One for other keys of the same service, and then others."""
     for number in range(3):
-        await _ask_deadly(scene, f"any-{number}", None, 8.0)
+        await _add_poison_request(scene, f"any-{number}", None, 8.0)
 
 
 async def _deadly_at_its_key(scene: crash_scene.Scene) -> None:
     """One that is at work wherever the popular one is, and then others."""
     for number in range(3):
-        await _ask_deadly(scene, f"here-{number}", POPULAR_KEY, 8.0)
+        await _add_poison_request(scene, f"here-{number}", POPULAR_KEY, 8.0)
 
 
 async def _deadly_often(scene: crash_scene.Scene) -> None:
     """One that comes so often that no owner of the key lives to answer."""
     target = f"/{scene.service}/deadly-often".encode()
-    scene.cluster.fleet.deadly.add(target)
+    scene.cluster.fleet.poison_targets.add(target)
     with anyio.move_on_after(8.0):
         await scene.ask_from_everywhere(target, 0.01, POPULAR_KEY)
 
@@ -201,12 +201,16 @@
     """Two at the same time."""
     async with anyio.create_task_group() as tasks:
         for name in ("one", "two"):
-            tasks.start_soon(_ask_deadly, scene, name, POPULAR_KEY, 12.0)
+            tasks.start_soon(
+                _add_poison_request, scene, name, POPULAR_KEY, 12.0
+            )
 
 
 async def _deadly_while_domains_are_lost(scene: crash_scene.Scene) -> None:
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_ask_deadly, scene, "beside", POPULAR_KEY, 12.0)
+        tasks.start_soon(
+            _add_poison_request, scene, "beside", POPULAR_KEY, 12.0
+        )
         await _lose_domains(scene)
 
 
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -23,16 +23,16 @@
     """Its entry goes on to say that it stays, in newer and newer words."""
 
 
-async def _take_log_away(scene, server):
+async def _make_log_unavailable(scene, server):
     for each in scene.cluster.instances:
-        each.way.cut()
+        each.log_client.cut()
 
 
 async def _take_log_away_for_a_while(scene, server):
-    await _take_log_away(scene, server)
+    await _make_log_unavailable(scene, server)
     await anyio.sleep(3.0)
     for each in scene.cluster.instances:
-        each.way.heal()
+        each.log_client.heal()
 
 
 async def _lapse(scene, server):
@@ -46,7 +46,7 @@
 
 
 async def _take_log_away_and_kill_leader(scene, server):
-    await _take_log_away(scene, server)
+    await _make_log_unavailable(scene, server)
     await anyio.sleep(0.5)
     scene.cluster.leader.kill()
 
@@ -59,7 +59,7 @@
 
 HAPPENS = {
     "only its answers say so": _answer_only,
-    "the log is away": _take_log_away,
+    "the log is away": _make_log_unavailable,
     "the log is away for a while": _take_log_away_for_a_while,
     "its entry lapses": _lapse,
     "its entry goes and comes back": _lapse_for_a_while,
@@ -72,7 +72,7 @@
     """Returns requests to servers that had told their sender long before."""
     told_s = {
         (sender, name): at_s
-        for (sender, name, _), at_s in cluster.fleet.told_leaving_s.items()
+        for (sender, name, _), at_s in cluster.fleet.leaving_reported_s.items()
     }
     return [
         run
@@ -115,7 +115,7 @@
             tasks.cancel_scope.cancel()
 
     scene = _play(act)
-    assert scene.cluster.fleet.told_leaving_s
+    assert scene.cluster.fleet.leaving_reported_s
     assert _find_late(scene.cluster) == []
     assert scene.cluster.fleet.overlaps == []
 
@@ -192,7 +192,7 @@
         ),
         pytest.param(
             _use_it_for_good,
-            _take_log_away,
+            _make_log_unavailable,
             instances.SERVICE,
             id="used until its keys move",
         ),
--- a/tests/emulated/test_many_callers.py
+++ b/tests/emulated/test_many_callers.py
@@ -68,7 +68,7 @@
         async with anyio.create_task_group() as callers:
             for service in case.services:
                 target = _name_deadly(service)
-                scene.cluster.fleet.deadly.add(target)
+                scene.cluster.fleet.poison_targets.add(target)
                 callers.start_soon(
                     scene.ask_from_everywhere,
                     target,
--- a/tests/emulated/test_poison_news.py
+++ b/tests/emulated/test_poison_news.py
@@ -82,7 +82,7 @@
         return {
             each.settings.name
             for each in self.cluster.instances
-            if not each.host.stands_still and each.configuration_version
+            if not each.host.is_paused and each.configuration_version
         }
 
 
@@ -92,7 +92,7 @@
 
 
 async def _log_away(scene: Scene) -> None:
-    scene.cluster.log.is_away = True
+    scene.cluster.log.is_unavailable = True
     await anyio.sleep(3.0)
     await _all_is_well(scene)
 
@@ -107,12 +107,12 @@
 async def _leader_frozen(scene: Scene) -> None:
     others = scene.cluster.others()
     await scene.end_servers(*others[:2])
-    scene.cluster.freeze(scene.leader)
+    scene.cluster.pause(scene.leader)
     scene.end_server(others[2])
 
 
 async def _leader_dead_and_log_away(scene: Scene) -> None:
-    scene.cluster.log.is_away = True
+    scene.cluster.log.is_unavailable = True
     await _leader_dead(scene)
 
 
@@ -121,7 +121,7 @@
     others = scene.cluster.others()
     await scene.end_servers(*others[:2])
     for each in others[3::3]:
-        scene.cluster.freeze(each)
+        scene.cluster.pause(each)
     scene.end_server(others[2])
 
 
@@ -205,7 +205,7 @@
 
 
 async def _restart_with_log_away(scene: Scene) -> None:
-    scene.cluster.log.is_away = True
+    scene.cluster.log.is_unavailable = True
     await _restart(scene)
 
 
--- a/tests/emulated/test_repeated_crash.py
+++ b/tests/emulated/test_repeated_crash.py
@@ -28,7 +28,7 @@
 
 
 async def _keep_ending_servers(scene: crash_scene.Scene) -> None:
-    scene.cluster.fleet.deadly.add(scene.deadly)
+    scene.cluster.fleet.poison_targets.add(scene.deadly)
     async with anyio.create_task_group() as callers:
         callers.start_soon(scene.serve_others)
         callers.start_soon(
--- a/tests/emulated/test_rest.py
+++ b/tests/emulated/test_rest.py
@@ -20,7 +20,7 @@
 def _find_most(cluster):
     """Returns the most requests of one sender to one server in any rest."""
     by_pair = collections.defaultdict(list)
-    for each in cluster.fleet.turned_away:
+    for each in cluster.fleet.rejections:
         by_pair[each.sender, each.server].append(each.at_s)
     return max(
         sum(told_s + ON_THE_WAY_S < at_s < told_s + REST_S for at_s in times_s)
@@ -39,10 +39,10 @@
             if server.service == service
         ]
         for server in servers[:full_count]:
-            server.rest_s = REST_S
+            server.backoff_s = REST_S
         await anyio.sleep(FULL_FOR_S)
         for server in servers:
-            server.rest_s = 0.0
+            server.backoff_s = 0.0
         await anyio.sleep(REST_S + 1.0)
 
     return crash_scene.Play(
@@ -62,7 +62,7 @@
 )
 def test_a_server_that_asks_for_rest_is_left_alone(service, full_count):
     scene = _play(service, full_count)
-    assert scene.cluster.fleet.turned_away
+    assert scene.cluster.fleet.rejections
     assert _find_most(scene.cluster) <= ALLOWED_COUNT
     # Once they work again, they are used again.
     calm_s = scene.cluster.now_s - 0.5
--- a/tests/emulated/test_search.py
+++ b/tests/emulated/test_search.py
@@ -15,26 +15,26 @@
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_a_random_house_keeps_its_promises(seed):
-    assert search.play(search.draw(seed)).violations == ()
+    assert search.simulate(search.draw(seed)).violations == ()
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_a_house_keeps_its_promises_beside_planned_work(seed):
-    events = search.draw_beside_planned(seed)
+    events = search.draw_with_planned(seed)
     if events != search.draw(seed):
-        assert search.play(events).violations == ()
+        assert search.simulate(events).violations == ()
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_a_house_keeps_its_promises_beside_deadly_requests(seed):
-    events = search.draw_beside_deadly(seed)
-    if events != search.draw_beside_planned(seed):
-        assert search.play(events).violations == ()
+    events = search.draw_all(seed)
+    if events != search.draw_with_planned(seed):
+        assert search.simulate(events).violations == ()
 
 
 @pytest.mark.parametrize("seed", MOVING_SEEDS)
 def test_a_house_keeps_its_promises_while_keys_move(seed):
-    played = search.play(search.draw_moving(seed))
+    played = search.simulate(search.draw_key_moves(seed))
     assert played.violations == ()
     lines = played.lines
     moves = [line for line in lines if line.event == "keys_move"]
@@ -48,13 +48,13 @@
 )
 def test_a_known_fault_is_found(mutant):
     with mutant.put_back():
-        violations = search.play(mutant.draw(mutant.seed)).violations
+        violations = search.simulate(mutant.draw(mutant.seed)).violations
     assert mutant.promise in {v.promise for v in violations}
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_the_same_seed_gives_the_same_log(seed):
-    first, second = (search.play(search.draw(seed)).lines for _ in range(2))
+    first, second = (search.simulate(search.draw(seed)).lines for _ in range(2))
     assert first == second
     assert len(first) > 100
 
--- a/tests/emulated/test_suspended.py
+++ b/tests/emulated/test_suspended.py
@@ -55,7 +55,7 @@
     """
     leader = cluster.leader
     cluster.isolate(leader)
-    leader.way.cut()
+    leader.log_client.cut()
     await cluster.suspend(leader, SUSPENDED_S)
     woken_s = cluster.now_s
     orders_s = []
@@ -73,7 +73,7 @@
     async def act(cluster: clusters.Cluster) -> None:
         orders_s.extend(await _orders_after_waking(cluster))
         follower = cluster.others()[0]
-        follower.way.cut()
+        follower.log_client.cut()
         cluster.isolate(follower)
         await cluster.suspend(follower, SUSPENDED_S)
         ages_s.append(follower.parts.cluster_state.configuration_age_s)
@@ -104,7 +104,7 @@
         )
 
         async def call() -> None:
-            virtual.enter(instance.host)
+            virtual.enter_host(instance.host)
             await instance.request(request)
             told_s.append(cluster.now_s)
 
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -101,7 +101,7 @@
 async def _a_domain_is_taken_back(scene):
     scene.cluster.evacuate(DOMAIN)
     await anyio.sleep(7.0)
-    scene.cluster.take_back(DOMAIN)
+    scene.cluster.end_evacuation(DOMAIN)
 
 
 async def _all_are_taken_back(scene):
@@ -109,7 +109,7 @@
         scene.cluster.evacuate(domain)
     await anyio.sleep(7.0)
     for domain in ("zone-0", "zone-1", "zone-2"):
-        scene.cluster.take_back(domain)
+        scene.cluster.end_evacuation(domain)
 
 
 async def _a_leader_goes_meanwhile(scene):
@@ -123,14 +123,14 @@
 async def _some_instances_know_nothing(scene):
     """They reach neither the log nor the others, but all servers."""
     for instance in scene.cluster.instances[:3]:
-        instance.way.cut()
+        instance.log_client.cut()
         scene.cluster.isolate(instance)
     await anyio.sleep(1.0)
     await _go_dark(scene, "zone-0", "zone-1", "zone-2", for_s=3.0)
     await anyio.sleep(4.0)
     scene.cluster.network.heal()
     for instance in scene.cluster.instances[:3]:
-        instance.way.heal()
+        instance.log_client.heal()
 
 
 async def _instances_stand_still_with_permits(scene):
@@ -139,10 +139,10 @@
     for _ in range(4):
         frozen = scene.cluster.instances[:4]
         for instance in frozen:
-            scene.cluster.freeze(instance)
+            scene.cluster.pause(instance)
         await anyio.sleep(0.6)
         for instance in frozen:
-            scene.cluster.thaw(instance)
+            scene.cluster.resume(instance)
         await anyio.sleep(0.1)
 
 
@@ -157,11 +157,11 @@
 
 
 async def _the_log_is_away(scene):
-    scene.cluster.log.is_away = True
+    scene.cluster.log.is_unavailable = True
     await anyio.sleep(1.0)
     await _go_dark(scene, DOMAIN, for_s=3.0)
     await anyio.sleep(3.0)
-    scene.cluster.log.is_away = False
+    scene.cluster.log.is_unavailable = False
 
 
 HAPPENINGS = {
--- a/tests/emulated/test_work.py
+++ b/tests/emulated/test_work.py
@@ -25,7 +25,7 @@
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self.cluster = cluster
-        self.orders = servers_lib.Orders(cluster.fleet, _SENDER)
+        self.orders = servers_lib.EmulatedLeaseClient(cluster.fleet, _SENDER)
         self.servers = list(cluster.fleet.servers.values())
         self.listed = [
             model.BackendServer(
@@ -64,7 +64,7 @@
         """Lets the first server work on one of them."""
         held = self.servers[0].find(5)
         assert held is not None
-        self.servers[0].work.begin(5, work_s, held.until_s, held.sure_s)
+        self.servers[0].work.begin(5, work_s, held.until_s, held.timely_until_s)
 
 
 def _play(act: Callable[[_Bench], Awaitable[None]]) -> None:
@@ -164,14 +164,14 @@
 
 def test_a_late_grant_counts_from_its_arrival():
     async def act(bench):
-        bench.servers[0].lateness = servers_lib.Lateness(grant_ratio=1.0)
+        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
         begun_s = bench.cluster.now_s
         await _give_up(bench.grant(0, 1))
         assert not bench.servers[0].holds(5)
         await anyio.sleep(1.6)
         held = bench.servers[0].find(5)
         assert 2.4 < held.until_s - begun_s < 2.6
-        assert held.sure_s == -math.inf
+        assert held.timely_until_s == -math.inf
 
     _play(act)
 
@@ -179,7 +179,9 @@
 def test_a_late_release_is_carried_out_without_an_answer():
     async def act(bench):
         await bench.grant(0, 1)
-        bench.servers[0].lateness = servers_lib.Lateness(release_ratio=1.0)
+        bench.servers[0].order_faults = servers_lib.OrderFaults(
+            release_ratio=1.0
+        )
         await _give_up(bench.release(2))
         assert bench.servers[0].holds(5)
         await anyio.sleep(1.6)
@@ -190,7 +192,7 @@
 
 def test_a_late_order_does_not_outlive_the_run_that_it_came_to():
     async def act(bench):
-        bench.servers[0].lateness = servers_lib.Lateness(grant_ratio=1.0)
+        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
         await _give_up(bench.grant(0, 1))
         bench.servers[0].crash()
         bench.servers[0].start()
@@ -202,7 +204,7 @@
 
 def test_some_orders_are_late():
     async def act(bench):
-        bench.servers[0].lateness = servers_lib.Lateness(grant_ratio=0.5)
+        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=0.5)
         taken = 0
         for token in range(20):
             with contextlib.suppress(TimeoutError), anyio.fail_after(0.1):
@@ -240,7 +242,7 @@
 
 def test_work_under_an_order_that_was_taken_late_does_not_count():
     async def act(bench):
-        bench.servers[0].lateness = servers_lib.Lateness(grant_ratio=1.0)
+        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
         await _give_up(bench.grant(0, 1))
         await anyio.sleep(1.6)
         bench.begin_work(0.3)
--- a/tests/emulated/troubles.py
+++ b/tests/emulated/troubles.py
@@ -8,7 +8,7 @@
 from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 
-IN_TOUCH_AFTER_S = 3.0
+UNDISTURBED_AFTER_S = 3.0
 """For so long nothing may have disturbed an instance that is in touch."""
 
 
@@ -33,7 +33,7 @@
 
 
 async def cut_leader_off_log(scene: Scene) -> None:
-    scene.leader.way.cut()
+    scene.leader.log_client.cut()
     scene.disturb(scene.leader)
 
 
@@ -41,13 +41,13 @@
     """Words to one that says nothing hold up those to the others."""
     dead = scene.others.pop()
     scene.cluster.isolate(dead)
-    scene.cluster.freeze(dead)
+    scene.cluster.pause(dead)
     await anyio.sleep(0.3)
     await cut_leader_off_log(scene)
 
 
 async def turn_leader_away(scene: Scene) -> None:
-    scene.leader.way.turned_away = True
+    scene.leader.log_client.rejected = True
     scene.disturb(scene.leader)
 
 
@@ -64,7 +64,7 @@
 
 
 async def freeze_leader(scene: Scene) -> None:
-    scene.cluster.freeze(scene.leader)
+    scene.cluster.pause(scene.leader)
     scene.disturb(scene.leader)
 
 
@@ -72,7 +72,7 @@
     """What it had written before it stood still comes after that."""
     await freeze_leader(scene)
     await anyio.sleep(1.0)
-    scene.cluster.thaw(scene.leader)
+    scene.cluster.resume(scene.leader)
     scene.disturb(scene.leader)
 
 
@@ -102,18 +102,18 @@
 async def silence_connections_and_kill_leader(scene: Scene) -> None:
     """Who has not called the log since learns of it only by calling it."""
     await silence_connections(scene)
-    await anyio.sleep(IN_TOUCH_AFTER_S)
+    await anyio.sleep(UNDISTURBED_AFTER_S)
     await kill_leader(scene)
 
 
 async def leave_circuits_open_and_kill_leader(scene: Scene) -> None:
     """The log was away until just now, for all but the leader."""
     for other in scene.others:
-        other.way.cut()
-    scene.leader.way.cut()
+        other.log_client.cut()
+    scene.leader.log_client.cut()
     await anyio.sleep(6.0)
     for each in scene.cluster.instances:
-        each.way.heal()
+        each.log_client.heal()
     scene.disturb(*scene.cluster.instances)
     await anyio.sleep(1.5)
     await kill_leader(scene)
@@ -125,7 +125,7 @@
     while scene.cluster.leader is scene.leader:
         await anyio.sleep(0.01)
     following = scene.cluster.leader
-    scene.cluster.freeze(following)
+    scene.cluster.pause(following)
     scene.disturb(following)
 
 
@@ -141,7 +141,7 @@
     scene.disturb(following)
     await anyio.sleep(1.0)
     scene.cluster.network.heal()
-    scene.cluster.freeze(following)
+    scene.cluster.pause(following)
     scene.disturb(following)
 
 
