--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -1,4 +1,4 @@
-"""What must hold in a cluster, whatever happens to it."""
+"""Checks of the guarantees that must hold in a cluster in spite of faults."""
 
 from typing import NamedTuple
 
@@ -13,20 +13,21 @@
 """From the log's acknowledgement of a configuration to its use everywhere."""
 
 UNDISTURBED_AFTER_S = 3.0
-"""For so long an instance and the log must have been left in peace."""
+"""How long an instance and the log must have been undisturbed for checks of
+delays to apply to the instance."""
 
 EVACUATED_WITHIN_S = 5.0
 """From the log's acknowledgement of an evacuation to its use everywhere."""
 
 SERVED_AGAIN_WITHIN_S = 8.0
-"""After the last fault: entries come back in 2.6 s, a lease lasts 2.7 s and an
-earlier leader's orders 2 s."""
+"""From the end of the last fault until all keys are served: entries return
+within 2.6 s, a lease lasts 2.7 s, and the orders of an earlier leader 2 s."""
 
 _CHECK_INTERVAL_S = 0.05
 
 
 class Violation(NamedTuple):
-    """A promise that did not hold."""
+    """A violated guarantee."""
 
     promise: str
     at_s: float
@@ -34,17 +35,20 @@
 
 
 class ConfigurationCheck:
-    """In force in time wherever an instance is in touch; never back."""
+    """Checks that new versions are in force in time, and never old ones.
+
+    The time limit applies to undisturbed instances.
+    """
 
     def __init__(self, scene: faults.Scene) -> None:
-        """Has seen nothing."""
+        """Initializes the check without violations."""
         self.violations: list[Violation] = []
         self._scene = scene
-        # The highest version that each life of an instance has used.
+        # The highest version that each process of an instance has used.
         self._highest: dict[instances.EmulatedInstance, int] = {}
 
     async def run(self) -> None:
-        """Looks again and again, until cancelled."""
+        """Checks all running instances periodically, until cancelled."""
         while True:
             for instance in self._scene.cluster.instances:
                 if not instance.host.is_paused:
@@ -52,7 +56,7 @@
             await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
-        """Compares what one instance uses with what was published."""
+        """Compares the version that an instance uses with those published."""
         now_s = self._scene.cluster.now_s
         used = instance.configuration_version or 0
         name = instance.settings.name
@@ -71,22 +75,22 @@
             self._note("configuration in force in time", detail)
 
     def _note(self, promise: str, detail: str) -> None:
-        """Keeps a violation once."""
+        """Records a violation, unless it is already recorded."""
         at_s = round(self._scene.cluster.now_s, 3)
         if not any(v.detail == detail for v in self.violations):
             self.violations.append(Violation(promise, at_s, detail))
 
 
 class EvacuationCheck:
-    """Servers of an evacuated domain may be sent nothing after the bound."""
+    """Checks that evacuated servers are unused after ``EVACUATED_WITHIN_S``."""
 
     def __init__(self, scene: faults.Scene) -> None:
-        """Has seen nothing."""
+        """Initializes the check without violations."""
         self.violations: list[Violation] = []
         self._scene = scene
 
     async def run(self) -> None:
-        """Looks again and again, until cancelled."""
+        """Checks undisturbed instances periodically, until cancelled."""
         while True:
             for instance in self._scene.cluster.instances:
                 name = instance.settings.name
@@ -97,7 +101,7 @@
             await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
-        """Looks whether an instance in touch may still use such a server."""
+        """Checks whether an instance may still use an evacuated server."""
         cluster = self._scene.cluster
         for domain, taken_s in cluster.evacuated_s.items():
             if cluster.now_s < taken_s + EVACUATED_WITHIN_S + _CHECK_INTERVAL_S:
@@ -119,19 +123,20 @@
 
 
 POISON_CRASHES_MAX_COUNT = 3
-"""Servers that may end under one request before none gets it any more."""
+"""How many servers a poison request may crash before it is refused."""
 
 
 def check_poison_requests(
     cluster: clusters.Cluster, calm_s: float
 ) -> list[Violation]:
-    """Returns requests under which servers went on to end.
+    """Returns poison requests that crashed too many servers.
 
-    While instances are lost or cut off, some may not know what others saw.
+    Crashes before the end of the last fault do not count: while instances are
+    lost or cut off, some may not know of crashes that others have seen.
 
     Args:
         cluster: The cluster.
-        calm_s: Since when nothing has been wrong but those requests.
+        calm_s: When the last fault ended, apart from poison requests.
     """
     found = []
     for target in sorted(cluster.fleet.poison_targets):
@@ -150,7 +155,7 @@
 
 
 def check_owners(cluster: clusters.Cluster) -> list[Violation]:
-    """Returns where two servers held a key at the same time."""
+    """Returns violations in which two servers held a key at the same time."""
     return [
         Violation(
             "one owner a key",
@@ -163,9 +168,9 @@
 
 
 def check_handovers(cluster: clusters.Cluster) -> list[Violation]:
-    """Returns keys that were given on while their last holder worked on them.
+    """Returns keys that were granted while the previous holder worked on them.
 
-    That is, before the lease was over under which it did so.
+    Work counts only until the end of the lease under which it runs.
     """
     found: dict[str, Violation] = {}
     for each in cluster.fleet.premature:
@@ -178,12 +183,13 @@
 
 
 TOPICS_KNOWN_WITHIN_S = 6.0
-"""After all is calm, each instance knows a topic as it was so long ago: key
-maps are waited for in the log for 5 s, where nobody tells of them."""
+"""Without faults, each instance knows all records of a topic that are older
+than this: where no other instance relays key maps, reads of the log wait for
+them for 5 s."""
 
 
 def find_ends(cluster: clusters.Cluster) -> dict[str, int]:
-    """Returns where each topic ends at this moment."""
+    """Returns the current end of each topic."""
     offsets = cluster.instances[0].parts.cluster_state.offsets()
     return {each.topic: cluster.log.end(each.topic) for each in offsets}
 
@@ -191,11 +197,11 @@
 def check_topics(
     cluster: clusters.Cluster, ends: dict[str, int]
 ) -> list[Violation]:
-    """Returns topics that an instance has stopped to follow.
+    """Returns topics that an instance has stopped following.
 
     Args:
         cluster: The cluster.
-        ends: Where the topics ended a while ago.
+        ends: Where the topics ended ``TOPICS_KNOWN_WITHIN_S`` ago.
     """
     found = []
     for instance in cluster.instances:
@@ -213,7 +219,7 @@
 
 
 def check_served(cluster: clusters.Cluster) -> list[Violation]:
-    """Returns keys that no server holds, or not the one that instances ask."""
+    """Returns keys that are not held by their known owner, and only by it."""
     found = []
     for instance in cluster.instances:
         key_map = instance.parts.table.newest(instances.SERVICE)
@@ -231,7 +237,7 @@
 
 
 def _find_fault(cluster: clusters.Cluster, key_range: keymap.KeyRange) -> str:
-    """Returns why a range is not served by its owner; empty if it is."""
+    """Returns why a range is not served by its owner; "" if it is."""
     holders = cluster.fleet.holders(key_range.first_key)
     names = [f"{h.name}@{h.started_ms:x}" for h in holders]
     if names == [key_range.owner]:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -1,8 +1,8 @@
-"""What may happen to a cluster, as events that can be drawn, kept and replayed.
+"""Faults of a cluster, as events that can be drawn, saved and replayed.
 
-An event is a kind, a target by its number, a moment and a length. Kinds begin
-and end something; whoever disturbs an instance or the log says so, since some
-promises hold only for instances in touch.
+An event consists of a kind, the number of a target, a time and a duration. A
+kind says how a fault begins and ends, and whether it disturbs an instance or
+the log, because some guarantees hold only for undisturbed instances.
 """
 
 from collections.abc import Callable
@@ -30,56 +30,56 @@
 
 _CHANGE_SHARE = 0.5
 _CHANGE_WITHIN_S = 0.3
-"""Half of the faults of instances are followed by a change of configuration
-this soon: a change that nobody knows yet at that moment does the most harm."""
+"""Half of the faults of instances are followed by a change of the configuration
+within this time: faults do the most harm to a change that nobody knows yet."""
 
 
 class Event(NamedTuple):
-    """One thing that happens."""
+    """One fault, or one planned operation."""
 
     at_s: float
     kind: str
-    # The number of an instance, a server or a topic, by the kind.
+    # The number of an instance, a server or a topic, depending on the kind.
     target: int
-    # How long it lasts; 0 for what happens at a moment.
+    # The duration; 0 for an event that has none.
     for_s: float
 
 
 class Disturbances:
-    """Since when instances and the log have been left in peace."""
+    """Records which instances are disturbed, and whether the log is."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
-        """Nothing has happened."""
+        """Initializes the records without a disturbance."""
         self._cluster = cluster
         # When the last disturbance ended; infinite while one lasts.
         self._until_s: dict[str, float] = {}
         self._lasting: dict[str, int] = {}
 
     def begin(self, name: str) -> None:
-        """Takes it that a disturbance begins; empty for the log's."""
+        """Records the start of a disturbance; "" stands for the log."""
         self._lasting[name] = self._lasting.get(name, 0) + 1
         self._until_s[name] = math.inf
 
     def end(self, name: str) -> None:
-        """Takes it that one ends."""
+        """Records the end of a disturbance."""
         self._lasting[name] -= 1
         if not self._lasting[name]:
             self._until_s[name] = self._cluster.now_s
 
     def undisturbed_s(self, name: str) -> float:
-        """Returns for how long an instance and the log have had peace."""
+        """Returns how long an instance and the log have been undisturbed."""
         until_s = max(self._until_s.get(each, -math.inf) for each in (name, ""))
         return self._cluster.now_s - until_s
 
 
 class Scene(NamedTuple):
-    """A cluster, and what has happened to it."""
+    """A cluster and its disturbances."""
 
     cluster: clusters.Cluster
     disturbances: Disturbances
 
     def instance(self, target: int) -> instances.EmulatedInstance:
-        """Returns an instance by its number; 0 is whoever leads."""
+        """Returns an instance by its number; 0 is the current leader."""
         present = self.cluster.instances
         if target == 0 and any(x.event == "leads" for x in self.cluster.lines):
             return self.cluster.leader
@@ -98,7 +98,7 @@
 
 End = Callable[[], None]
 Begin = Callable[[Scene, int], End]
-"""Begins something; returns what ends it."""
+"""Begins a fault of a target; returns a function that ends it."""
 
 
 def _cut_off_log(scene: Scene, target: int) -> End:
@@ -221,7 +221,7 @@
 
 
 def _leave_server(scene: Scene, target: int) -> End:
-    """It says that it leaves, and starts again under its name."""
+    """A server announces that it leaves, and restarts under the same name."""
     server = scene.server(target)
     server.is_leaving = True
     server.write_entry()
@@ -269,14 +269,14 @@
 
 
 def _evacuate(scene: Scene, target: int) -> End:
-    """The operator empties a failure domain of servers."""
+    """The operator evacuates a failure domain of servers."""
     domain = scene.domain(target)
     scene.cluster.evacuate(domain)
     return lambda: scene.cluster.end_evacuation(domain)
 
 
 def _add_poison_request(scene: Scene, target: int) -> End:
-    """From now on callers ask for a request that ends servers."""
+    """From now on, callers send a poison request."""
     scene.cluster.fleet.poison_targets.add(
         f"/{instances.SERVICE}/{target}".encode()
     )
@@ -287,13 +287,13 @@
     """One kind of event."""
 
     begin: Begin
-    # How often it is drawn, against others.
+    # The relative frequency with which it is drawn.
     weight: float
-    # Whether its target, an instance, is not in touch meanwhile.
+    # Whether its target, an instance, is disturbed by it.
     disturbs_target: bool = False
-    # Whether nobody is, since it concerns the log or all connections.
+    # Whether all instances are, because it affects the log or all connections.
     disturbs_all: bool = False
-    # Whether it happens at a moment.
+    # Whether it has no duration.
     is_momentary: bool = False
 
 
@@ -306,7 +306,7 @@
     "slow to log": Kind(_slow_log, 1, disturbs_target=True),
     "killed": Kind(_kill, 2, disturbs_target=True),
     "frozen": Kind(_freeze, 3, disturbs_target=True),
-    # These reach the log, and so are in touch.
+    # Not disturbances, because the instances still reach the log.
     "isolated": Kind(_isolate, 2),
     "mute": Kind(_cut_outbound, 1),
     "deaf": Kind(_cut_inbound, 1),
@@ -325,7 +325,7 @@
     "server cut": Kind(_cut_server, 2),
     "server off log": Kind(_cut_server_off_log, 1),
     "orders late": Kind(_take_orders_late, 1),
-    # Drawn apart from the others.
+    # Drawn separately from the others.
     EVACUATION: Kind(_evacuate, 0),
     POISON: Kind(_add_poison_request, 0, is_momentary=True),
 }
@@ -338,7 +338,7 @@
 
 
 def draw_planned(seed: int, length_s: float) -> tuple[Event, ...]:
-    """Returns planned work, drawn apart from the other events of a seed."""
+    """Returns planned evacuations, drawn separately from a seed's events."""
     rng = random.Random(f"planned {seed}")
     if rng.random() > _PLANNED_SHARE:
         return ()
@@ -353,7 +353,7 @@
 
 
 def draw_poison_requests(seed: int, length_s: float) -> tuple[Event, ...]:
-    """Returns requests that end servers, drawn apart from a seed's events."""
+    """Returns poison requests, drawn separately from a seed's events."""
     rng = random.Random(f"deadly {seed}")
     if rng.random() > _POISON_SHARE:
         return ()
@@ -364,7 +364,7 @@
 
 
 def draw(seed: int, count: int, length_s: float) -> tuple[Event, ...]:
-    """Returns random events; the same for the same seed."""
+    """Returns random events, which depend only on the arguments."""
     rng = random.Random(seed)
     names = [name for name, kind in KINDS.items() if kind.weight]
     weights = [KINDS[name].weight for name in names]
@@ -392,7 +392,7 @@
 async def inject(
     scene: Scene, events: tuple[Event, ...], kinds: Mapping[str, Kind] = KINDS
 ) -> None:
-    """Lets events happen, counted from now; returns after the last end."""
+    """Injects events, with times relative to now; waits until all are over."""
     begun_s = scene.cluster.now_s
 
     async def happen(event: Event) -> None:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
@@ -1,8 +1,9 @@
-"""What may happen to a cluster while its keys move, and who asks for them.
+"""Faults of a cluster while keys move and requests for them arrive.
 
-These events are drawn apart from those of ``faults``, some of which come beside
-them: callers all the while, ranges that run hot, servers that join, and what
-makes orders and maps arrive in part, late or without an answer.
+These events are drawn separately from those of ``faults``, some of which are
+mixed in. They consist of steady traffic, ranges under high load, servers that
+join, and faults that cause orders and key maps to be lost in part, late or
+unanswered.
 """
 
 import itertools
@@ -28,12 +29,13 @@
 _HOT_RATE_PER_S = 18.0
 _HOT_KEYS = 300
 _HOT_STEP = 9_973
-"""Hot ranges begin at multiples of this, far from one another."""
+"""Hot ranges begin at multiples of this, so that they are far apart."""
 
 _LOST_RATIO = 0.3
 _LATE_RATIO = 0.5
 _APPEND_LATE_S = 1.2
-"""A call to the log is given up after 0.8 s: by then nothing of it is done."""
+"""Longer than the 0.8 s after which a call to the log times out, so that the
+append is carried out after the timeout."""
 
 _KILL_AFTER_S = 0.002
 
@@ -55,7 +57,7 @@
 
 
 def _join_server(scene: faults.Scene, target: int) -> faults.End:
-    """Another server starts, and stays."""
+    """Another server starts, and keeps running."""
     fleet = scene.cluster.fleet
     number = len(fleet.servers)
     address = model.Address(f"10.2.1.{number}", 8_609)
@@ -64,12 +66,12 @@
 
 
 def _lose_answers(scene: faults.Scene, target: int) -> faults.End:
-    """What an instance appends is done, and not answered."""
+    """Appends of an instance are carried out but not answered."""
     return _delay_appends(scene, target, 0.0)
 
 
 def _append_late(scene: faults.Scene, target: int) -> faults.End:
-    """What an instance appends is done after it was given up."""
+    """Appends of an instance are carried out after they have timed out."""
     return _delay_appends(scene, target, _APPEND_LATE_S)
 
 
@@ -86,7 +88,7 @@
 
 
 def _kill_after_append(scene: faults.Scene, target: int) -> faults.End:
-    """Whoever appends the next key map is killed before it is answered."""
+    """The leader that appends the next key map is killed before the answer."""
     log = scene.cluster.log
     killed: list[instances.EmulatedInstance] = []
 
@@ -134,7 +136,7 @@
 
 
 def _silence_server(scene: faults.Scene, target: int) -> faults.End:
-    """Orders reach a server, and requests; its answers reach nobody."""
+    """Orders and requests reach a server, but its answers reach no instance."""
     network = scene.cluster.network
     server = scene.server(target).address
     pairs = [(server, i.settings.peer_address) for i in scene.cluster.instances]
@@ -151,7 +153,7 @@
 def _find_pair(
     scene: faults.Scene, target: int
 ) -> tuple[model.Address, model.Address]:
-    """Returns where an instance and a server are, by the number of a pair."""
+    """Returns the addresses of an instance and a server, by a pair's number."""
     count = len(scene.cluster.instances)
     instance = scene.instance(target % count)
     server = scene.server(target // count)
@@ -159,14 +161,14 @@
 
 
 def _lose_packets(scene: faults.Scene, target: int) -> faults.End:
-    """A link between an instance and a server is lossy."""
+    """The link between an instance and a server loses packets."""
     return _lose_between(scene, [_find_pair(scene, target)])
 
 
 def _lose_all_around(scene: faults.Scene, target: int) -> faults.End:
-    """All links between an instance and servers are lossy.
+    """All links between an instance and the servers lose packets.
 
-    Orders then overtake one another, those about the same range too.
+    Orders can then overtake each other, including orders for the same range.
     """
     own = scene.instance(target).settings.peer_address
     present = scene.cluster.fleet.servers
@@ -189,7 +191,7 @@
 
 
 def _cut_requests(scene: faults.Scene, target: int) -> faults.End:
-    """A server hears nothing of one instance."""
+    """A server receives nothing from one instance."""
     network = scene.cluster.network
     pair = _find_pair(scene, target)
     network.cut(*pair)
@@ -197,7 +199,7 @@
 
 
 def _cut_answers(scene: faults.Scene, target: int) -> faults.End:
-    """One instance hears nothing of a server."""
+    """One instance receives nothing from a server."""
     network = scene.cluster.network
     sender, receiver = _find_pair(scene, target)
     network.cut(receiver, sender)
@@ -205,7 +207,10 @@
 
 
 def _partition(scene: faults.Scene, target: int) -> faults.End:
-    """An instance and a domain of servers see nobody else, nor the log."""
+    """An instance and a domain of servers are cut off from all else.
+
+    The instance is cut off the log as well.
+    """
     network = scene.cluster.network
     inside = scene.instance(target)
     own = inside.settings.peer_address
@@ -237,7 +242,7 @@
 
 
 def _unlist_instance(scene: faults.Scene, target: int) -> faults.End:
-    """An instance is taken off the list, as one that was away for long."""
+    """An instance is removed from the list, as if it had long been down."""
     address = scene.instance(target).settings.peer_address
     gone = logs.KeyedRecord(str(address), b"")
     scene.cluster.log.add(cluster_state.INSTANCE_TOPIC, gone)
@@ -260,7 +265,7 @@
     "server deaf to one": faults.Kind(_cut_requests, 2),
     "server mute to one": faults.Kind(_cut_answers, 2),
     "parted": faults.Kind(_partition, 3, disturbs_target=True),
-    # These are drawn apart.
+    # These are drawn separately.
     LOSSY: faults.Kind(_lose_all_around, 0),
     MISTAKEN: faults.Kind(_misidentify_server, 0),
     UNLISTED: faults.Kind(
@@ -287,12 +292,12 @@
     "orders late": 1.0,
     faults.EVACUATION: 1.0,
 }
-"""How often faults of other kinds come beside these."""
+"""The weights of kinds from ``faults`` that are drawn together with these."""
 
 _HOT_RANGES_COUNT = 3
 _DURATIONS_S = (0.3, 1.0, 2.0, 4.0, 8.0)
-"""Typical lengths of events. The longest outlast all that is waited for: an
-earlier leader's orders, a lease after them, and one look more."""
+"""Typical durations of events. The longest exceed the longest wait: for an
+earlier leader's orders, for a lease after them, and for one more check."""
 
 _HOT_FOR_S = (2.0, 6.0)
 _PAIRS_COUNT = 20
@@ -300,7 +305,7 @@
 
 
 def draw(seed: int, count: int, length_s: float) -> tuple[faults.Event, ...]:
-    """Returns random events beside callers; the same for the same seed."""
+    """Returns traffic and random events, which depend only on the arguments."""
     rng = random.Random(f"moving {seed}")
     events = [faults.Event(0.0, TRAFFIC, 0, length_s)]
     for _ in range(_HOT_RANGES_COUNT):
@@ -313,7 +318,7 @@
     kinds = {**faults.KINDS, **KINDS}
     drawn = rng.choices(list(weights), list(weights.values()), k=count)
     for name in drawn:
-        # Those who lead, and the first of the servers, are met most often.
+        # The leader and the first server are drawn most often.
         target = rng.choice([0, 0, 0, rng.randrange(_PAIRS_COUNT)])
         events.append(_draw_event(rng, name, target, kinds[name], length_s))
     return tuple(sorted(set(events)))
@@ -322,7 +327,7 @@
 def draw_kind(
     seed: int, name: str, length_s: float
 ) -> tuple[faults.Event, ...]:
-    """Returns events of one kind, drawn apart from a seed's other events."""
+    """Returns events of one kind, drawn separately from a seed's others."""
     rng = random.Random(f"{name} {seed}")
     return tuple(
         _draw_event(
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/ownership_model.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/ownership_model.py
@@ -1,9 +1,9 @@
-"""All orders of events around one key, up to a bound: a model of ownership.
+"""A bounded model checker of ownership: all orders of events around one key.
 
-One key, two servers that may hold it, two instances that may lead, and a log.
-Time is coarse. What an instance may take for proof that a server holds the key
-no longer is a rule of the model, so that rules can be compared; the rest
-follows ``leases`` and ``coordinator``.
+The model has one key, two servers that may hold it, two instances that may
+lead, and a log. Time advances in ticks. What an instance accepts as proof that
+a server no longer holds the key is a rule of the model, so that rules can be
+compared; the rest follows ``leases`` and ``coordinator``.
 """
 
 import collections
@@ -13,16 +13,16 @@
 from typing import Protocol
 
 LEASE_TICKS = 2
-"""How long a server holds the key after it has taken an order."""
+"""How long a server holds the key after it has carried out an order."""
 
 ORDER_TICKS = 1
-"""An order that was sent is taken within this time, or never."""
+"""An order that was sent is carried out within this time, or never."""
 
 CONFIRMED_TICKS = 1
-"""For so long an instance gives orders after its lead was confirmed."""
+"""How long an instance may send orders after its lead was confirmed."""
 
 _WAIT_TICKS = LEASE_TICKS + ORDER_TICKS
-"""After an order, the server may hold the key for so long."""
+"""How long the server may hold the key after an order was sent."""
 
 _SERVERS = (0, 1)
 _LEADERS = (0, 1)
@@ -45,68 +45,69 @@
 class Rules:
     """What counts as proof, besides an answered release and a lease's end."""
 
-    # A refused connection is taken for the end of a server's run.
+    # A refused connection counts as the end of a server's run.
     refusal_is_proof: bool = False
-    # A newer start of a server is taken for proof that it holds nothing.
+    # A newer start of a server counts as proof that it holds nothing.
     start_is_proof: bool = False
-    # A later leader writes the map anew before it orders anything.
+    # A later leader writes the map again before it sends orders.
     leaders_write_first: bool = True
-    # A later leader waits for what an earlier one may have ordered.
+    # A later leader waits until orders of an earlier one have no effect.
     waits_for_earlier: bool = True
-    # An answered release is proof only if it was asked for when an earlier
-    # leader could order no more; until then its server may start again, and
-    # the new run, which knows no token, may take an order of that leader.
+    # An answered release is proof only if it was requested when an earlier
+    # leader could not send orders any more. Until then its server may restart,
+    # and the new run, which knows no token, may accept an order of that leader.
     releases_wait_for_earlier: bool = True
-    # Servers refuse tokens below the highest that they have seen.
+    # Servers refuse tokens lower than the highest that they have seen.
     servers_check_tokens: bool = True
-    # An order that is under way when its server's run ends may reach the next
-    # run. Over a connection it does not: it ends with the process at its end.
+    # An order that is in transit when its server's run ends may reach the next
+    # run. With connections this cannot happen: a connection ends together with
+    # the process.
     orders_outlive_runs: bool = False
 
 
 class Server(NamedTuple):
-    """A server, over its runs."""
+    """The state of a server, over all its runs."""
 
     is_up: bool = True
-    # It refuses connections, and works on.
+    # A leaving server refuses connections, but continues its work.
     is_leaving: bool = False
     run: int = 0
-    # For how long it still holds the key.
+    # The remaining time for which it holds the key.
     holds_ticks: int = 0
     # The highest token that this run has seen.
     seen_token: int = 0
 
 
 class Map(NamedTuple):
-    """What the log says of the key."""
+    """The key's entry in the log."""
 
     owner: int
     token: int
-    # Who may still hold it.
+    # The previous owner, which may still hold it.
     prior: int
-    # The instance that wrote it; others write only on top of what they know.
+    # The instance that wrote it; a write succeeds only on a known entry.
     writer: int = 0
 
 
 class Leader(NamedTuple):
-    """What one instance knows that leads, or takes itself to lead."""
+    """The knowledge of an instance that leads, or that believes it does."""
 
     leads: bool = False
     confirmed_ticks: int = 0
     known: Map = Map(_NO_SERVER, 0, _NO_SERVER)
-    # For how long each server may hold the key by orders of this instance.
+    # How long each server may hold the key because of this instance's orders.
     wait_ticks: tuple[int, int] = (0, 0)
-    # For how long more an earlier leader's orders may be given or taken.
+    # How long an earlier leader's orders may still be sent or carried out.
     earlier_ticks: int = 0
-    # Whether nobody but the owner can hold the key, as far as it knows.
+    # Whether it has proof that no server but the owner can hold the key.
     is_proved: bool = False
     is_given: bool = False
-    # The runs of the servers that the list has told it of.
+    # The runs of the servers that it has read from the list.
     runs: tuple[int, int] = (0, 0)
 
 
 class Order(NamedTuple):
-    """An order on its way; whoever sent it knows the server, not its run."""
+    """An order in transit; its sender knows the server, but not its run."""
 
     server: int
     # The run that was up when it was sent.
@@ -116,19 +117,19 @@
 
 
 class State(NamedTuple):
-    """Everything at one moment."""
+    """The state of the whole model."""
 
     servers: tuple[Server, Server]
     leaders: tuple[Leader, Leader]
     log: Map
-    # Who made the newest claim.
+    # The instance that claimed the lead last.
     claimed_by: int
     log_is_up: bool
     orders: frozenset[Order]
 
 
 class HasServers(Protocol):
-    """Something that says how the servers are."""
+    """An object that contains the states of the servers."""
 
     @property
     def servers(self) -> tuple[Server, Server]:
@@ -136,12 +137,12 @@
 
 
 class Replayed(NamedTuple):
-    """What came of some events."""
+    """The result of replaying events."""
 
-    # The servers after the last of them.
+    # The servers after the last event.
     servers: tuple[Server, Server]
     state: State
-    # Those that the rules did not let happen; they left the state as it was.
+    # Events that were not possible at their turn; the state did not change.
     refused: tuple[str, ...]
 
 
@@ -153,10 +154,10 @@
 
 
 class Explored(NamedTuple):
-    """What a search came to."""
+    """The result of a search."""
 
     states_count: int
-    # The events that lead to two holders; None if there is no such order.
+    # Events that lead to two holders of the key; None if there are none.
     violation: tuple[str, ...] | None
 
 
@@ -178,7 +179,7 @@
     True,
     frozenset(),
 )
-"""The first server holds the key, by an order of the first instance."""
+"""The initial state: server 0 holds the key, by an order of instance 0."""
 
 
 def explore(
@@ -187,20 +188,20 @@
     token_max: int = 3,
     first: tuple[str, ...] = (),
 ) -> Explored:
-    """Goes through all orders of events up to a depth.
+    """Searches all orders of events up to a depth for two holders of the key.
 
     Args:
         rules: What counts as proof.
-        depth: The number of events in an order, without the first ones.
-        token_max: The highest token that is given out.
-        first: The events that all the orders begin with.
+        depth: The maximum number of events, not counting those in ``first``.
+        token_max: The highest token that is issued.
+        first: The events with which all orders begin.
 
     Raises:
-        ValueError: Some of the first events cannot happen.
+        ValueError: Some of the first events are not possible at their turn.
     """
     start, refused = _replay(rules, first, token_max)
     if refused:
-        raise ValueError(f"cannot happen at their turn: {refused}")
+        raise ValueError(f"first events not possible at their turn: {refused}")
     came_from: dict[State, Step | None] = {start: None}
     waiting = collections.deque([(start, 0)])
     while waiting:
@@ -224,10 +225,10 @@
 def replay(
     rules: Rules, events: tuple[str, ...], token_max: int = 3
 ) -> Replayed:
-    """Attempts some events in their order.
+    """Replays events in the given order; skips those that are not possible.
 
     Raises:
-        KeyError: There is no such event.
+        KeyError: An event is unknown.
     """
     state, refused = _replay(rules, events, token_max)
     return Replayed(state.servers, state, refused)
@@ -236,7 +237,7 @@
 def _replay(
     rules: Rules, events: tuple[str, ...], token_max: int
 ) -> tuple[State, tuple[str, ...]]:
-    """Returns the state after some events, and those that did not happen."""
+    """Returns the state after some events, and those that were not possible."""
     known = _list_names(token_max)
     state = START
     refused = []
@@ -276,7 +277,7 @@
 
 
 def _events(state: State, rules: Rules, token_max: int) -> Iterator[Step]:
-    """Returns all that may happen next."""
+    """Returns all possible next events."""
     yield Step("time passes", _pass_time(state))
     yield Step("log toggles", state._replace(log_is_up=not state.log_is_up))
     for order in state.orders:
@@ -331,7 +332,7 @@
 
 
 def _server_events(state: State, index: int) -> Iterator[Step]:
-    """Returns what may happen to a server."""
+    """Returns the possible next events of a server."""
     server = state.servers[index]
     if not server.is_up:
         started = Server(run=server.run + 1)
@@ -353,7 +354,7 @@
 def _leader_events(
     state: State, index: int, rules: Rules, token_max: int
 ) -> Iterator[Step]:
-    """Returns what an instance may do."""
+    """Returns the possible next events of an instance."""
     leader = state.leaders[index]
     name = f"instance {index}"
     if state.log_is_up and state.claimed_by != index:
@@ -364,7 +365,7 @@
         yield Step(f"{name} reads who claimed", _confirm(state, index))
     yield from _read_list(state, index, rules)
     if not leader.is_proved:
-        yield from _take_back(state, index, rules)
+        yield from _reclaim(state, index, rules)
     if not leader.confirmed_ticks:
         return
     if leader.is_proved:
@@ -376,7 +377,7 @@
 
 
 def _claim(state: State, index: int, rules: Rules) -> State:
-    """Returns the state after an instance has claimed and read the map."""
+    """Returns the state after an instance claimed the lead and read the map."""
     earlier = CONFIRMED_TICKS + ORDER_TICKS if rules.waits_for_earlier else 0
     wait = LEASE_TICKS if rules.waits_for_earlier else 0
     if rules.leaders_write_first:
@@ -395,7 +396,7 @@
 
 
 def _confirm(state: State, index: int) -> State:
-    """Returns the state after an instance has looked who claimed last."""
+    """Returns the state after an instance has read who claimed last."""
     leader = state.leaders[index]
     if state.claimed_by != index:
         return _with_leader(state, index, Leader())
@@ -404,7 +405,7 @@
 
 
 def _read_list(state: State, index: int, rules: Rules) -> Iterator[Step]:
-    """Returns what an instance may learn of starts."""
+    """Returns the events by which an instance learns of servers' starts."""
     leader = state.leaders[index]
     runs = (state.servers[0].run, state.servers[1].run)
     if runs == leader.runs or not state.log_is_up:
@@ -418,8 +419,8 @@
     )
 
 
-def _take_back(state: State, index: int, rules: Rules) -> Iterator[Step]:
-    """Returns the ways in which the prior owner may be found to be done."""
+def _reclaim(state: State, index: int, rules: Rules) -> Iterator[Step]:
+    """Returns the events that may prove that the prior owner holds nothing."""
     leader = state.leaders[index]
     prior = leader.known.prior
     server = state.servers[prior]
@@ -444,7 +445,7 @@
 
 
 def _order(state: State, index: int) -> State:
-    """Returns the state after an instance has ordered the owner to hold."""
+    """Returns the state after an instance has sent the owner an order."""
     leader = state.leaders[index]
     owner, token = leader.known.owner, leader.known.token
     wait_ticks = list(leader.wait_ticks)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
@@ -1,4 +1,4 @@
-"""Plays clusters with random events; finds the fewest that break a promise."""
+"""Simulates clusters with random faults, and shrinks schedules that fail."""
 
 from collections.abc import Callable
 import json
@@ -19,7 +19,7 @@
 from bridgecross_emulator import virtual
 
 FORMAT = "bridgecross-schedule-1"
-"""Stands in each kept schedule; another version is refused."""
+"""The format of saved schedules; files of another format are refused."""
 
 _KINDS = {**faults.KINDS, **move_faults.KINDS}
 _EVENTS_COUNT = 14
@@ -29,7 +29,7 @@
 
 
 class SimulationResult(NamedTuple):
-    """What came of one cluster."""
+    """The result of simulating one cluster."""
 
     violations: tuple[checks.Violation, ...]
     lines: tuple[instances.Line, ...]
@@ -39,11 +39,11 @@
     events: tuple[faults.Event, ...],
     settings: clusters.ClusterSettings | None = None,
 ) -> SimulationResult:
-    """Plays one cluster in virtual time.
+    """Simulates one cluster in virtual time.
 
     Args:
-        events: What happens, counted from when the cluster has settled.
-        settings: The cluster; five instances and four servers, if left out.
+        events: The faults, with times relative to when the cluster has settled.
+        settings: The cluster; five instances and four servers if omitted.
     """
     environment = simpy.Environment()
     chosen = settings or clusters.ClusterSettings(
@@ -56,7 +56,8 @@
         async with anyio.create_task_group() as tasks:
             cluster = clusters.Cluster(chosen, environment, tasks)
             found = await _watch(cluster, events, tasks)
-            # Tasks are cancelled in no order that a seed could tell.
+            # Taken before the tasks are cancelled, the order of which is not
+            # determined by the seed.
             played = SimulationResult(tuple(found), tuple(cluster.lines))
             cluster.stop()
         return played
@@ -69,7 +70,7 @@
     events: tuple[faults.Event, ...],
     tasks: anyio.abc.TaskGroup,
 ) -> list[checks.Violation]:
-    """Lets events happen, and returns what did not hold."""
+    """Injects faults, and returns the violated guarantees."""
     scene = faults.Scene(cluster, faults.Disturbances(cluster))
     configurations = checks.ConfigurationCheck(scene)
     await cluster.start(_SETTLE_S)
@@ -96,7 +97,7 @@
 def shrink(
     events: tuple[faults.Event, ...], fails: Callable[..., bool]
 ) -> tuple[faults.Event, ...]:
-    """Returns the fewest events that still fail, each needed."""
+    """Returns a subset of the events that still fails; all in it are needed."""
     changed = True
     while changed:
         changed = False
@@ -113,7 +114,7 @@
     events: tuple[faults.Event, ...],
     violations: tuple[checks.Violation, ...],
 ) -> None:
-    """Writes a schedule that can be replayed."""
+    """Writes a schedule to a file, from which it can be replayed."""
     document = {
         "format": FORMAT,
         "violations": [v._asdict() for v in violations],
@@ -123,15 +124,15 @@
 
 
 class ScheduleError(ValueError):
-    """A file holds no schedule that this version plays; it says where."""
+    """A file contains no valid schedule; the message says where it is wrong."""
 
 
 def load(path: pathlib.Path) -> tuple[faults.Event, ...]:
-    """Returns a kept schedule.
+    """Returns the schedule in a file.
 
     Raises:
         OSError: The file cannot be read.
-        ScheduleError: It holds something else.
+        ScheduleError: The file contains no valid schedule.
     """
     try:
         document = json.loads(path.read_text(encoding="utf-8"))
@@ -148,7 +149,7 @@
 
 
 def _find_problem(event: faults.Event) -> str:
-    """Returns what is wrong with an event; empty if it is sound."""
+    """Returns what is wrong with an event; "" if it is valid."""
     if event.kind not in _KINDS:
         return f"kind: {event.kind!r} is not known"
     if not isinstance(event.target, int) or event.target < 0:
@@ -161,18 +162,18 @@
 
 
 class FailedSeed(NamedTuple):
-    """A seed whose cluster broke a promise."""
+    """A seed whose simulation violated a guarantee."""
 
     seed: int
     violations: tuple[checks.Violation, ...]
 
 
 Draw = Callable[[int], tuple[faults.Event, ...]]
-"""Returns the events of a seed's cluster."""
+"""Returns the events of a seed."""
 
 
 def draw(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a seed's cluster, without planned work."""
+    """Returns the events of a seed, without planned evacuations."""
     return faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
@@ -182,18 +183,18 @@
 
 
 def draw_all(seed: int) -> tuple[faults.Event, ...]:
-    """Returns all events of a seed's cluster, and requests that end servers."""
+    """Returns the events of a seed, with evacuations and poison requests."""
     deadly = faults.draw_poison_requests(seed, _LENGTH_S)
     return tuple(sorted(draw_with_planned(seed) + deadly))
 
 
 def draw_key_moves(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a cluster whose keys move and are asked for."""
+    """Returns the events of a seed, with moving keys and requests for them."""
     return move_faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
 def _draw_key_moves_with(name: str) -> Draw:
-    """Returns what draws the same, and events of a kind that is drawn apart."""
+    """Returns a draw that adds events of one kind to ``draw_key_moves``."""
 
     def draw_both(seed: int) -> tuple[faults.Event, ...]:
         apart = move_faults.draw_kind(seed, name, _LENGTH_S)
@@ -210,7 +211,7 @@
     "mistaken": _draw_key_moves_with(move_faults.MISTAKEN),
     "unlisted": _draw_key_moves_with(move_faults.UNLISTED),
 }
-"""What seeds may stand for, by name."""
+"""The available draws, by name."""
 
 
 def search_seeds(
@@ -218,15 +219,16 @@
     until_s: float | None = None,
     draw_events: Draw = draw_all,
 ) -> tuple[int, list[FailedSeed]]:
-    """Plays one cluster for each seed.
+    """Simulates one cluster per seed.
 
     Args:
-        seeds: Which.
-        until_s: When to stop, by ``time.monotonic``; at the end, if left out.
-        draw_events: What happens there.
+        seeds: The seeds.
+        until_s: When to stop, by ``time.monotonic``; after the last seed if
+            omitted.
+        draw_events: Draws the events of a seed.
 
     Returns:
-        How many were played, and those that broke a promise.
+        The number of simulated clusters, and the seeds that failed.
     """
     found = []
     played_count = 0
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
@@ -23,54 +23,55 @@
 SERVER_TOPIC = "emulated-servers"
 
 WORK_HEADER = b"emulated-work-s"
-"""Says how long a request takes, if not as long as others."""
+"""The duration of a request; ``ServerSettings.work_s`` without this header."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """How servers behave while nothing is wrong with them."""
+    """The behavior of servers, and the timing of their faults."""
 
     # How often a server writes its entry.
     heartbeat_s: float = 0.87
-    # Silent heartbeats after which the platform removes an entry.
+    # Missed heartbeats after which the platform removes an entry.
     silent_max_count: int = 3
-    # The clock by which leases end may run slow by this ratio.
+    # A server's clock may be slow by this factor, so that leases last longer.
     clock_ratio: float = 1.02
-    # Orders without an answer are taken after this time, if they are.
+    # The delay after which orders without an answer are carried out.
     late_s: float = 2.0
-    # Whoever gives an order has given it up after this time. One that arrives
-    # later was held up in transit, or on the host of the one who gave it.
+    # The sender's timeout for an order. An order that arrives later was delayed
+    # in transit, or on the sender's host.
     order_timeout_s: float = 0.5
     # How long a request takes.
     work_s: float = 0.06
-    # How long a request that ends its server takes to do so, and how long the
-    # server needs until it runs again.
+    # How long a poison request takes to crash its server, and how long the
+    # server takes to restart.
     crash_after_s: float = 0.04
     returns_after_s: float = 1.2
 
 
 class Held(NamedTuple):
-    """A range that a server holds."""
+    """A key range that a server holds."""
 
     # Both ends are inside.
     first_key: int
     last_key: int
     token: int
     until_s: float
-    # The same by orders that were taken in time; in the past if none was.
+    # The end, counting only orders that were carried out in time; in the past
+    # if there were none.
     timely_until_s: float
 
 
 class OrderFaults(NamedTuple):
-    """Which orders get no answer, and are carried out late."""
+    """The orders that get no answer, and are carried out late."""
 
-    # Parts of the grants and of the releases.
+    # The ratios of such orders among the grants and among the releases.
     grant_ratio: float = 0.0
     release_ratio: float = 0.0
 
 
 class Overlap(NamedTuple):
-    """Two servers that held the same key at the same time."""
+    """A key that two servers held at the same time."""
 
     at_s: float
     server: str
@@ -79,7 +80,7 @@
 
 
 class PrematureGrant(NamedTuple):
-    """A key that one server was given while another was at work on it."""
+    """A key that a server was granted while another was working on it."""
 
     at_s: float
     server: str
@@ -88,7 +89,7 @@
 
 
 class Run(NamedTuple):
-    """A request that a server began to run."""
+    """The start of a request on a server."""
 
     at_s: float
     server: str
@@ -97,21 +98,21 @@
     target: bytes
     # Whether the server was cold.
     is_cold: bool = False
-    # Whether the request ends servers.
+    # Whether it is a poison request.
     is_poison: bool = False
 
 
 class Ended(NamedTuple):
-    """A server's run that ended."""
+    """The end of a server's run."""
 
     at_s: float
     server: str
-    # The request that ended it, by its target; None for another reason.
+    # The target of the request that crashed it; None for other reasons.
     target: bytes | None
 
 
 class Rejection(NamedTuple):
-    """A request that a server turned away."""
+    """A request that a server rejected."""
 
     at_s: float
     server: str
@@ -131,71 +132,71 @@
         started_ms: int,
         domain: str = "hall-0",
     ) -> None:
-        """Is started by the fleet."""
+        """Initializes the server; the fleet starts it."""
         self.name = name
-        # The failure domain that it runs in.
+        # The failure domain in which it runs.
         self.domain = domain
         self.service = service
         self.address = address
         self.started_ms = started_ms
         self.is_up = False
         self.is_leaving = False
-        # Whether its answers say that it leaves, whatever its entry says.
+        # Whether its answers say that it is leaving, whatever its entry says.
         self.answers_leaving = False
-        # For how long it wants to be left alone by whoever sends it a request;
-        # it turns all of them away. 0 if it works.
+        # The backoff that it asks for when it rejects requests, in which case
+        # it rejects all of them. 0 if it accepts requests.
         self.backoff_s = 0.0
-        # Until when it is cold.
+        # When it stops being cold.
         self.cold_until_s = 0.0
         # Whether its heartbeats reach the log.
         self.reaches_log = True
-        # Which orders it takes late.
+        # The orders that it carries out late.
         self.order_faults = OrderFaults()
         # When it last wrote its entry; None if the entry was removed.
         self.listed_s: float | None = None
-        # Set once the run has ended; another run has another.
+        # Set when the current run ends; each run has its own event.
         self.ended = anyio.Event()
         self._fleet = fleet
         self.work = work_lib.WorkSet(lambda: fleet.now_s)
         self._held: list[Held] = []
-        # The highest token that was seen, by range.
+        # Ranges with the highest token seen: first key, last key, token.
         self._seen: list[tuple[int, int, int]] = []
 
     @property
     def is_cold(self) -> bool:
-        """Whether it bears few requests."""
+        """Whether it is warming up, and can handle only few requests."""
         return self._fleet.now_s < self.cold_until_s
 
     @property
     def reported_cold_s(self) -> float:
-        """For how long it says that it is cold, counted from its start."""
+        """The remaining warmup time that it reports."""
         return max(self.cold_until_s - self._fleet.now_s, 0.0)
 
     @property
     def notice(self) -> attempts.Notice:
-        """What it says of itself in its answers."""
+        """The notice in its answers."""
         is_leaving = self.is_leaving or self.answers_leaving
         return attempts.Notice(is_leaving, self.backoff_s)
 
     def find(self, key: int) -> Held | None:
-        """Returns the range of a key that it holds at this moment."""
+        """Returns the held range that contains a key; None if there is none."""
         for held in self.held():
             if held.first_key <= key <= held.last_key:
                 return held
         return None
 
     def holds(self, key: int) -> bool:
-        """Whether it holds a key at this moment."""
+        """Whether it currently holds a key."""
         return self.find(key) is not None
 
     def held(self) -> list[Held]:
-        """Returns what it holds at this moment."""
+        """Returns the ranges that it currently holds."""
         now_s = self._fleet.now_s
         self._held = [h for h in self._held if h.until_s > now_s]
         return self._held if self.is_up else []
 
     def crash(self) -> None:
-        """Ends the run; it says nothing of it."""
+        """Ends the run without an announcement."""
         self.is_up = False
         self.ended.set()
         self.work.stop()
@@ -203,7 +204,7 @@
         self._seen = []
 
     def start(self) -> None:
-        """Begins a run under the same name, unless one goes on."""
+        """Starts a run under the same name, unless it is already running."""
         if self.is_up:
             return
         self.is_up = True
@@ -216,21 +217,22 @@
         self.write_entry()
 
     def write_entry(self) -> None:
-        """Writes what the list says of it."""
+        """Writes its entry in the server list, if it reaches the log."""
         if self.is_up and self.reaches_log:
             self._fleet.write_entry(self)
 
     def grant(
         self, first: int, last: int, token: int, until_s: float, *, timely: bool
     ) -> attempts.GrantResult:
-        """Takes a range, or refuses it.
+        """Accepts a range, or refuses it if it has seen a higher token.
 
         Args:
             first: The first key.
             last: The last key.
             token: The fencing token.
-            until_s: Until when it holds the range.
-            timely: Whether the order was neither held up nor is taken late.
+            until_s: When the lease ends.
+            timely: Whether the order was not delayed in transit and is not
+                carried out late.
         """
         for seen_first, seen_last, seen in self._seen:
             crosses = seen_first <= last and first <= seen_last
@@ -253,11 +255,12 @@
         return attempts.Granted()
 
     def release(self, first: int, last: int, token: int) -> list[work_lib.Work]:
-        """Gives a range back; no new work on it begins.
+        """Releases a range; no new work on it starts.
 
         Returns:
-            What is still at work on what was held until now. One who asks again
-            finds nothing held, and so nothing to wait for.
+            The work that still runs on keys that were held until now. If the
+            release is repeated, nothing is held, so there is no work to wait
+            for.
         """
         held = self.held()
         self._note_seen(first, last, token)
@@ -269,7 +272,7 @@
         ]
 
     def _note_seen(self, first: int, last: int, token: int) -> None:
-        """Keeps the highest token of a range."""
+        """Records the highest token seen for a range."""
         self._seen = [
             s
             for s in self._seen
@@ -278,7 +281,7 @@
         self._seen.append((first, last, token))
 
     def _take_out(self, first: int, last: int) -> None:
-        """Holds a range no longer; what lies beside it stays."""
+        """Removes a range from the held ranges; splits them if necessary."""
         kept = []
         for held in self._held:
             if held.last_key < first or held.first_key > last:
@@ -292,7 +295,7 @@
 
 
 class Fleet:
-    """All servers of a service, and what is wrong with their keys."""
+    """All servers, and a record of the guarantees that they violated."""
 
     def __init__(
         self,
@@ -301,31 +304,31 @@
         network: networks.Network,
         environment: simpy.Environment,
     ) -> None:
-        """Has no server."""
+        """Initializes a fleet without servers."""
         self.settings = settings
         self.servers: dict[model.Address, EmulatedServer] = {}
-        # What must never be.
+        # Violations of guarantees.
         self.overlaps: list[Overlap] = []
         self.premature: list[PrematureGrant] = []
-        # Pairs of an instance and a server of which the one is told that
-        # another server has the other's address.
+        # Pairs of an instance and a server for which the instance is told that
+        # another server has the server's address.
         self.misidentified: set[tuple[model.Address, model.Address]] = set()
-        # Requests by their target that end each server which runs them.
+        # Targets of requests that crash each server which runs them.
         self.poison_targets: set[bytes] = set()
-        # Bodies with which those do no harm.
+        # Bodies with which such requests are harmless.
         self.harmless_bodies: set[bytes] = set()
-        # Requests by their target that servers answer with an error.
+        # Targets of requests that servers answer with an error.
         self.failing: set[bytes] = set()
-        # Services whose servers own keys; the others run any request.
+        # Services whose servers own keys; servers of others run any request.
         self.keyed: set[str] = set()
-        # For how long servers that start are cold.
+        # How long servers are cold after their start.
         self.warmup_s = 0.0
-        # All requests that servers began to run, and all runs that ended.
+        # All starts of requests on servers, and all ends of servers' runs.
         self.runs: list[Run] = []
         self.ends: list[Ended] = []
-        # All requests that servers turned away.
+        # All requests that servers rejected.
         self.rejections: list[Rejection] = []
-        # When an answer told an instance first that a server's run leaves.
+        # When an answer first told an instance that a server's run is leaving.
         self.leaving_reported_s: dict[
             tuple[model.Address, str, int], float
         ] = {}
@@ -346,7 +349,7 @@
         address: model.Address,
         domain: str = "hall-0",
     ) -> None:
-        """Starts a server."""
+        """Adds a server, and starts it."""
         server = EmulatedServer(name, service, address, self, 1, domain)
         self.servers[address] = server
         server.start()
@@ -354,13 +357,13 @@
     def record_notice(
         self, sender: model.Address, server: EmulatedServer
     ) -> None:
-        """Keeps what an answer has told an instance."""
+        """Records that an answer told an instance that a server is leaving."""
         if server.notice.is_leaving:
             told = (sender, server.name, server.started_ms)
             self.leaving_reported_s.setdefault(told, self.now_s)
 
     def write_entry(self, server: EmulatedServer) -> None:
-        """Writes an entry of the list."""
+        """Writes a server's entry in the server list."""
         server.listed_s = self.now_s
         self._log.add(
             SERVER_TOPIC,
@@ -375,14 +378,13 @@
 
     @property
     def ends_s(self) -> list[float]:
-        """When servers ended, whatever the reason."""
+        """The times at which servers crashed, for any reason."""
         return [each.at_s for each in self.ends]
 
     def schedule_crash(self, server: EmulatedServer, target: bytes) -> None:
-        """Ends a server's run a little later; another run begins after it.
+        """Crashes a server after ``crash_after_s``; it restarts later.
 
-        That belongs to no instance: it happens also if the one whose request
-        brought it about stands still.
+        The crash happens even if the instance that sent the request is paused.
         """
         run = server.ended
 
@@ -395,7 +397,7 @@
     def crash(
         self, server: EmulatedServer, target: bytes | None = None
     ) -> None:
-        """Ends a server's run; another one begins later."""
+        """Crashes a server; it restarts after ``returns_after_s``."""
         if not server.is_up:
             return
         server.crash()
@@ -403,18 +405,18 @@
         work_lib.call_later(self.settings.returns_after_s, server.start)
 
     def holders(self, key: int) -> list[EmulatedServer]:
-        """Returns the servers that hold a key at this moment."""
+        """Returns the servers that currently hold a key."""
         return [s for s in self.servers.values() if s.holds(key)]
 
     def draw_chance(self, ratio: float) -> bool:
-        """Draws whether something happens that does so only at times."""
+        """Draws whether an event happens that has the given probability."""
         return ratio >= 1.0 or (ratio > 0.0 and self._rng.random() < ratio)
 
     def note_grant(self, server: EmulatedServer, held: Held) -> None:
-        """Looks whether others hold, or work on, what one has just taken.
+        """Records whether others hold or work on a range that was just granted.
 
-        Nobody can keep an order from being carried out long after it was given,
-        so what is held by such orders alone does not count.
+        Orders cannot be prevented from being carried out long after they were
+        sent, so ranges that are held only by such orders do not count.
         """
         for other in self.servers.values():
             if other is not server:
@@ -424,7 +426,7 @@
     def _note_overlaps(
         self, server: EmulatedServer, held: Held, other: EmulatedServer
     ) -> None:
-        """Keeps what another server holds."""
+        """Records an overlap with a range that another server holds."""
         for theirs in other.held():
             crosses = (
                 theirs.first_key <= held.last_key
@@ -442,7 +444,7 @@
     def _note_premature(
         self, server: EmulatedServer, held: Held, other: EmulatedServer
     ) -> None:
-        """Keeps what another server works on."""
+        """Records keys of the range that another server is working on."""
         for work in other.work.on(held.first_key, held.last_key):
             if work.key is not None and work.has_timely_lease(self.now_s):
                 premature = PrematureGrant(
@@ -453,11 +455,11 @@
     async def apply_late(
         self, server: EmulatedServer, take: Callable[[], None]
     ) -> None:
-        """Carries an order out late, if the run goes on; never answers.
+        """Carries out an order late, unless the run ends; never returns.
 
         Args:
-            server: Took the order.
-            take: Carries it out.
+            server: The server that received the order.
+            take: Carries out the order.
         """
         run_ended = server.ended
 
@@ -469,7 +471,7 @@
         await anyio.sleep_forever()
 
     async def run(self) -> None:
-        """Writes heartbeats and removes silent entries, until cancelled."""
+        """Writes heartbeats, and removes expired entries, until cancelled."""
         while True:
             await anyio.sleep(self.settings.heartbeat_s)
             for server in self.servers.values():
@@ -477,7 +479,7 @@
                 self._remove_if_silent(server)
 
     def _remove_if_silent(self, server: EmulatedServer) -> None:
-        """Removes the entry of a server that has been silent for long."""
+        """Removes a server's entry if too many heartbeats are missing."""
         if server.listed_s is None:
             return
         settings = self.settings
@@ -488,7 +490,7 @@
 
 
 def encode_server(server: EmulatedServer) -> bytes:
-    """Returns an entry of the list."""
+    """Returns the encoded entry of a server."""
     state = "leaving" if server.is_leaving else "staying"
     fields = (
         server.service,
@@ -502,10 +504,10 @@
 
 
 def decode_server(record: logs.KeyedRecord) -> model.BackendServer:
-    """Returns the server of an entry.
+    """Returns the server in an entry.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The entry is invalid.
     """
     words = record.value.decode().split()
     service, host, port, state, started, domain, cold_ms = words
@@ -524,16 +526,16 @@
 
 
 class EmulatedLeaseClient:
-    """An ``attempts.LeaseClient``: one instance's way to the servers."""
+    """An ``attempts.LeaseClient``: sends one instance's orders to servers."""
 
     def __init__(self, fleet: Fleet, sender: model.Address) -> None:
-        """Keeps no connection."""
+        """Initializes the client; it keeps no connections."""
         self.on_notice: attempts.NoticeHandler = attempts.ignore_notice
         self._fleet = fleet
         self._sender = sender
 
     def sweep(self, known: Container[ids.ServerId]) -> None:
-        """Nothing is kept."""
+        """Does nothing, because nothing has to be closed."""
 
     async def grant(
         self,
@@ -545,7 +547,7 @@
         handover: str,
         may_order: attempts.MaySend,
     ) -> attempts.GrantResult:
-        """Gives or renews a range; both ends are inside."""
+        """Grants or renews a range, including both ends."""
         if not may_order():
             return attempts.Withheld()
         sent_s = self._fleet.now_s
@@ -575,7 +577,7 @@
         token: int,
         may_order: attempts.MaySend,
     ) -> attempts.ReleaseResult:
-        """Takes a range back; answered once nothing runs on it."""
+        """Releases a range; the answer comes once nothing runs on it."""
         if not may_order():
             return attempts.Withheld()
         found = await self._reach(server)
@@ -597,13 +599,13 @@
         return attempts.Released("state")
 
     async def can_connect(self, server: model.BackendServer) -> bool:
-        """Returns whether a connection can be made; gives no order."""
+        """Returns whether a connection can be opened; sends no order."""
         return isinstance(await self._reach(server), EmulatedServer)
 
     async def _reach(
         self, server: model.BackendServer
     ) -> EmulatedServer | attempts.Refused | attempts.Gone:
-        """Returns the server that takes an order at an address."""
+        """Returns the server that receives an order, or why none does."""
         await self._fleet.network.cross(self._sender, server.address)
         found = self._fleet.servers.get(server.address)
         if found is None or not found.is_up:
@@ -618,18 +620,18 @@
 
 
 class EmulatedBackendClient:
-    """An ``attempts.BackendClient``: one instance's way to the servers."""
+    """An ``attempts.BackendClient``: sends requests of one instance."""
 
     def __init__(
         self, fleet: Fleet, sender: model.Address, clock: clocks.Clock
     ) -> None:
-        """Knows no run of any server."""
+        """Initializes the client without connections."""
         self.on_notice: attempts.NoticeHandler = attempts.ignore_notice
         self._fleet = fleet
         self._sender = sender
         self._clock = clock
-        # The run that a connection is kept to, of each server, and since when
-        # on the instance's clock; always, if the server has told how it is.
+        # For each server, the run to which a connection is kept, and since when
+        # by the instance's clock; -inf if the server has reported its warmup.
         self._kept: dict[model.Address, tuple[int, float]] = {}
 
     async def query_warmup_left_s(
@@ -639,7 +641,10 @@
         known_s: float,
         may_send: attempts.MaySend,
     ) -> float | None:
-        """Finds out whether the run that was known of a server goes on."""
+        """Returns the remaining warmup time of a server; None if unknown.
+
+        It is 0 without a query if the connection to the known run still exists.
+        """
         found = self._fleet.servers.get(server.address)
         run, since_s = self._kept.get(server.address, (None, math.inf))
         goes_on = found and found.is_up and run == found.started_ms
@@ -687,7 +692,7 @@
     async def _reject(
         self, server: model.BackendServer, found: EmulatedServer
     ) -> attempts.Shed:
-        """Lets a server that is full turn a request away."""
+        """Lets a server that asks for backoff reject a request."""
         now_s = self._fleet.now_s
         rejection = Rejection(now_s, found.name, self._sender)
         self._fleet.rejections.append(rejection)
@@ -701,7 +706,7 @@
         found: EmulatedServer,
         request: attempts.EntryRequest,
     ) -> attempts.Attempt:
-        """Lets a server work on a request, and answer it."""
+        """Runs a request on a server, and returns its answer."""
         run_ended = found.ended
         work = self._begin_work(found, request)
         await work.ended.wait()
@@ -715,7 +720,7 @@
         return outcomes.Answered(500 if failed else 200, (), b"")
 
     def _hear(self, server: model.BackendServer, found: EmulatedServer) -> None:
-        """Takes in what an answer says of its server."""
+        """Handles the notice in a server's answer."""
         if found.name == server.name:
             self._fleet.record_notice(self._sender, found)
             self.on_notice(server, found.notice)
@@ -723,7 +728,7 @@
     def _may_run(
         self, server: EmulatedServer, request: attempts.EntryRequest
     ) -> bool:
-        """Whether a server runs a request at all."""
+        """Whether a server may run a request: it must hold the key, if any."""
         if server.service not in self._fleet.keyed:
             return True
         return request.key is not None and server.holds(request.key)
@@ -731,7 +736,7 @@
     def _begin_work(
         self, server: EmulatedServer, request: attempts.EntryRequest
     ) -> work_lib.Work:
-        """Lets a server work on a request, whether it is waited for or not."""
+        """Starts a request on a server; it runs even if no one waits for it."""
         work_s = self._fleet.settings.work_s
         for header in request.headers:
             if header.name == WORK_HEADER:
@@ -748,7 +753,7 @@
     def _note_run(
         self, server: EmulatedServer, request: attempts.EntryRequest
     ) -> None:
-        """Keeps that a request begins to run, and lets it do its harm."""
+        """Records the start of a request; schedules the crash by poison."""
         fleet = self._fleet
         is_poison = (
             request.target in fleet.poison_targets
@@ -767,14 +772,14 @@
             fleet.schedule_crash(server, request.target)
 
     def is_connected(self, server: model.BackendServer) -> bool:
-        """Connections cost nothing here."""
+        """Whether the server is up, as connections are not modelled here."""
         found = self._fleet.servers.get(server.address)
         return found is not None and found.is_up
 
     async def is_refusing(self, server: model.BackendServer) -> bool:
-        """Whether nobody listens at a server's address."""
+        """Whether no server listens at an address."""
         await self._fleet.network.cross(self._sender, server.address)
         return not self.is_connected(server)
 
     def sweep(self, known: Container[ids.ServerId]) -> None:
-        """Nothing is kept."""
+        """Does nothing, because nothing has to be closed."""
