--- a/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
+++ b/libs/bridgecross-entry/src/bridgecross_entry/keymap.py
@@ -80,8 +80,7 @@
         expected = key_range.last_key + 1
     if expected != LAST_KEY + 1:
         raise codec.CodecError(
-            f"key map of {key_map.service}: the last range ends at "
-            f"{expected - 1} instead of the highest key"
+            f"key map of {key_map.service}: the last key is {expected - 1}"
         )
     return key_map
 
