--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -52,10 +52,10 @@
         while True:
             for instance in self._scene.cluster.instances:
                 if not instance.host.is_paused:
-                    self.look(instance)
+                    self.check(instance)
             await anyio.sleep(_CHECK_INTERVAL_S)
 
-    def look(self, instance: instances.EmulatedInstance) -> None:
+    def check(self, instance: instances.EmulatedInstance) -> None:
         """Compares the version that an instance uses with those published."""
         now_s = self._scene.cluster.now_s
         used = instance.configuration_version or 0
@@ -63,7 +63,7 @@
         highest = self._highest.get(instance, 0)
         if used < highest:
             detail = f"{name} went from version {highest} to {used}"
-            self._note("configuration never goes back", detail)
+            self._record("configuration never goes back", detail)
         self._highest[instance] = max(highest, used)
         if self._scene.disturbances.undisturbed_s(name) < UNDISTURBED_AFTER_S:
             return
@@ -72,9 +72,9 @@
         due = [p.version for p in published if p.acknowledged_s <= due_s]
         if due and used < due[-1]:
             detail = f"{name} uses version {used} instead of {due[-1]}"
-            self._note("configuration in force in time", detail)
+            self._record("configuration in force in time", detail)
 
-    def _note(self, promise: str, detail: str) -> None:
+    def _record(self, promise: str, detail: str) -> None:
         """Records a violation, unless it is already recorded."""
         at_s = round(self._scene.cluster.now_s, 3)
         if not any(v.detail == detail for v in self.violations):
@@ -97,10 +97,10 @@
                 calm_s = self._scene.disturbances.undisturbed_s(name)
                 stands = instance.host.is_paused
                 if not stands and calm_s >= UNDISTURBED_AFTER_S:
-                    self.look(instance)
+                    self.check(instance)
             await anyio.sleep(_CHECK_INTERVAL_S)
 
-    def look(self, instance: instances.EmulatedInstance) -> None:
+    def check(self, instance: instances.EmulatedInstance) -> None:
         """Checks whether an instance may still use an evacuated server."""
         cluster = self._scene.cluster
         for domain, taken_s in cluster.evacuated_s.items():
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/cluster.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/cluster.py
@@ -164,7 +164,7 @@
         )
         settings = make_settings(number, is_first_start=is_first_start)
         address = settings.peer_address
-        life = instances.EmulatedInstance(
+        process = instances.EmulatedInstance(
             settings,
             log_model.LogClient(self.log, clock),
             servers_lib.EmulatedLeaseClient(self.fleet, address),
@@ -174,8 +174,8 @@
             clock,
             instances.MemoryJournal(settings.name, clock, self.lines),
         )
-        self._processes.append(life)
-        return life
+        self._processes.append(process)
+        return process
 
     async def start(self, settle_s: float = 4.0) -> None:
         """Starts all instances, and waits for them to elect a leader."""
@@ -192,8 +192,8 @@
         Resumes paused hosts first, because their tasks cannot be cancelled.
         """
         loop = asyncio.get_running_loop()
-        for life in self._processes:
-            life.host.resume(loop)
+        for process in self._processes:
+            process.host.resume(loop)
         self._tasks.cancel_scope.cancel()
 
     def publish(self) -> Published:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -393,10 +393,10 @@
     scene: Scene, events: tuple[Event, ...], kinds: Mapping[str, Kind] = KINDS
 ) -> None:
     """Injects events, with times relative to now; waits until all are over."""
-    begun_s = scene.cluster.now_s
+    started_s = scene.cluster.now_s
 
     async def happen(event: Event) -> None:
-        await anyio.sleep(begun_s + event.at_s - scene.cluster.now_s)
+        await anyio.sleep(started_s + event.at_s - scene.cluster.now_s)
         kind = kinds[event.kind]
         disturbed = ""
         if kind.disturbs_target:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
@@ -41,19 +41,19 @@
 
 
 def _send_requests(scene: faults.Scene, target: int) -> faults.End:
-    asked = traffic.Traffic(
+    load = traffic.Traffic(
         scene.cluster, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
     )
-    asked.start()
-    return asked.stop
+    load.start()
+    return load.stop
 
 
 def _start_hot_range(scene: faults.Scene, target: int) -> faults.End:
     first_key = target * _HOT_STEP % keymap.LAST_KEY
     last_key = first_key + _HOT_KEYS - 1
-    asked = traffic.Traffic(scene.cluster, first_key, last_key, _HOT_RATE_PER_S)
-    asked.start()
-    return asked.stop
+    load = traffic.Traffic(scene.cluster, first_key, last_key, _HOT_RATE_PER_S)
+    load.start()
+    return load.stop
 
 
 def _join_server(scene: faults.Scene, target: int) -> faults.End:
@@ -235,10 +235,10 @@
 
 def _misidentify_server(scene: faults.Scene, target: int) -> faults.End:
     """One instance is told that another server has a server's address."""
-    mistaken = scene.cluster.fleet.misidentified
+    misidentified = scene.cluster.fleet.misidentified
     pair = _find_pair(scene, target)
-    mistaken.add(pair)
-    return lambda: mistaken.discard(pair)
+    misidentified.add(pair)
+    return lambda: misidentified.discard(pair)
 
 
 def _unlist_instance(scene: faults.Scene, target: int) -> faults.End:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
@@ -184,8 +184,8 @@
 
 def draw_all(seed: int) -> tuple[faults.Event, ...]:
     """Returns the events of a seed, with evacuations and poison requests."""
-    deadly = faults.draw_poison_requests(seed, _LENGTH_S)
-    return tuple(sorted(draw_with_planned(seed) + deadly))
+    poison = faults.draw_poison_requests(seed, _LENGTH_S)
+    return tuple(sorted(draw_with_planned(seed) + poison))
 
 
 def draw_key_moves(seed: int) -> tuple[faults.Event, ...]:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/servers.py
@@ -102,7 +102,7 @@
     is_poison: bool = False
 
 
-class Ended(NamedTuple):
+class RunEnd(NamedTuple):
     """The end of a server's run."""
 
     at_s: float
@@ -238,7 +238,7 @@
             crosses = seen_first <= last and first <= seen_last
             if crosses and seen > token:
                 return attempts.Outranked()
-        self._note_seen(first, last, token)
+        self._record_token(first, last, token)
         timely_until_s = until_s if timely else -math.inf
         for known in self.held():
             covers = known.first_key <= first and last <= known.last_key
@@ -246,12 +246,12 @@
                 # An order never shortens a lease.
                 until_s = max(until_s, known.until_s)
                 timely_until_s = max(timely_until_s, known.timely_until_s)
-        self._take_out(first, last)
+        self._remove_range(first, last)
         held = Held(first, last, token, until_s, timely_until_s)
         self._held.append(held)
         self.work.extend_leases(first, last, until_s, timely_until_s)
         if timely:
-            self._fleet.note_grant(self, held)
+            self._fleet.check_grant(self, held)
         return attempts.Granted()
 
     def release(self, first: int, last: int, token: int) -> list[work_lib.Work]:
@@ -263,15 +263,15 @@
             for.
         """
         held = self.held()
-        self._note_seen(first, last, token)
-        self._take_out(first, last)
+        self._record_token(first, last, token)
+        self._remove_range(first, last)
         return [
             work
             for work in self.work.on(first, last)
             if any(h.first_key <= (work.key or 0) <= h.last_key for h in held)
         ]
 
-    def _note_seen(self, first: int, last: int, token: int) -> None:
+    def _record_token(self, first: int, last: int, token: int) -> None:
         """Records the highest token seen for a range."""
         self._seen = [
             s
@@ -280,7 +280,7 @@
         ]
         self._seen.append((first, last, token))
 
-    def _take_out(self, first: int, last: int) -> None:
+    def _remove_range(self, first: int, last: int) -> None:
         """Removes a range from the held ranges; splits them if necessary."""
         kept = []
         for held in self._held:
@@ -325,7 +325,7 @@
         self.warmup_s = 0.0
         # All starts of requests on servers, and all ends of servers' runs.
         self.runs: list[Run] = []
-        self.ends: list[Ended] = []
+        self.ends: list[RunEnd] = []
         # All requests that servers rejected.
         self.rejections: list[Rejection] = []
         # When an answer first told an instance that a server's run is leaving.
@@ -401,7 +401,7 @@
         if not server.is_up:
             return
         server.crash()
-        self.ends.append(Ended(self.now_s, server.name, target))
+        self.ends.append(RunEnd(self.now_s, server.name, target))
         work_lib.call_later(self.settings.returns_after_s, server.start)
 
     def holders(self, key: int) -> list[EmulatedServer]:
@@ -412,7 +412,7 @@
         """Draws whether an event happens that has the given probability."""
         return ratio >= 1.0 or (ratio > 0.0 and self._rng.random() < ratio)
 
-    def note_grant(self, server: EmulatedServer, held: Held) -> None:
+    def check_grant(self, server: EmulatedServer, held: Held) -> None:
         """Records whether others hold or work on a range that was just granted.
 
         Orders cannot be prevented from being carried out long after they were
@@ -420,10 +420,10 @@
         """
         for other in self.servers.values():
             if other is not server:
-                self._note_overlaps(server, held, other)
-                self._note_premature(server, held, other)
+                self._record_overlaps(server, held, other)
+                self._record_premature(server, held, other)
 
-    def _note_overlaps(
+    def _record_overlaps(
         self, server: EmulatedServer, held: Held, other: EmulatedServer
     ) -> None:
         """Records an overlap with a range that another server holds."""
@@ -441,7 +441,7 @@
                 )
                 self.overlaps.append(overlap)
 
-    def _note_premature(
+    def _record_premature(
         self, server: EmulatedServer, held: Held, other: EmulatedServer
     ) -> None:
         """Records keys of the range that another server is working on."""
@@ -610,11 +610,11 @@
         found = self._fleet.servers.get(server.address)
         if found is None or not found.is_up:
             return attempts.Refused("connection refused")
-        is_mistaken = (
+        is_misidentified = (
             self._sender,
             server.address,
         ) in self._fleet.misidentified
-        if found.name != server.name or is_mistaken:
+        if found.name != server.name or is_misidentified:
             return attempts.Gone("another server has its address")
         return found
 
@@ -684,9 +684,9 @@
         if found.backoff_s > 0:
             return await self._reject(server, found)
         if not self._may_run(found, request):
-            self._hear(server, found)
+            self._handle_notice(server, found)
             return attempts.NotOwner(found.name)
-        self._note_run(found, request)
+        self._record_start(found, request)
         return await self._run(server, found, request)
 
     async def _reject(
@@ -697,7 +697,7 @@
         rejection = Rejection(now_s, found.name, self._sender)
         self._fleet.rejections.append(rejection)
         await self._fleet.network.cross(server.address, self._sender)
-        self._hear(server, found)
+        self._handle_notice(server, found)
         return attempts.Shed(503)
 
     async def _run(
@@ -715,11 +715,13 @@
         if not work.is_done(self._fleet.now_s):
             return attempts.Interrupted("the lease ran out")
         await self._fleet.network.cross(server.address, self._sender)
-        self._hear(server, found)
+        self._handle_notice(server, found)
         failed = request.target in self._fleet.failing
         return outcomes.Answered(500 if failed else 200, (), b"")
 
-    def _hear(self, server: model.BackendServer, found: EmulatedServer) -> None:
+    def _handle_notice(
+        self, server: model.BackendServer, found: EmulatedServer
+    ) -> None:
         """Handles the notice in a server's answer."""
         if found.name == server.name:
             self._fleet.record_notice(self._sender, found)
@@ -750,7 +752,7 @@
             request.key, work_s, held.until_s, held.timely_until_s
         )
 
-    def _note_run(
+    def _record_start(
         self, server: EmulatedServer, request: attempts.EntryRequest
     ) -> None:
         """Records the start of a request; schedules the crash by poison."""
