--- a/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/_service.py
@@ -154,15 +154,19 @@
             service=self.cell.service,
             servers=[
                 reports.ServerReport(
-                    k.server,
-                    k.health,
-                    k.front.token if k.is_front_accepted() else ids.NO_TOKEN,
+                    each.server,
+                    each.health,
+                    each.front.token
+                    if each.is_front_accepted()
+                    else ids.NO_TOKEN,
                 )
-                for k in managers
+                for each in managers
+            ],
+            settled=[
+                grant for each in managers for grant in each.list_settled()
             ],
-            settled=[grant for k in managers for grant in k.list_settled()],
             handed_over=[
-                grant for k in managers for grant in k.list_handed_over()
+                grant for each in managers for grant in each.list_handed_over()
             ],
             loads=loads,
         )
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/control.py
@@ -223,7 +223,7 @@
     def _record_chunk(
         self, offset: ids.Offset, body: bytes
     ) -> appenders.Verdict:
-        """Records the offset of the newest snapshot in the stream."""
+        """Records up to which offset the newest snapshot reaches."""
         chunk = snapshots.decode_chunk(body)
         if chunk.part == chunk.parts - 1:
             self.snapshot_as_of = chunk.as_of
--- a/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/instance.py
@@ -199,7 +199,7 @@
         await self._drained.wait()
 
     def close(self) -> None:
-        """Ends ``run`` once the servers that call this instance stopped."""
+        """Ends ``run``; called after the HTTP and gRPC servers have stopped."""
         self._closing.set()
 
     def drain_limit_s(self) -> float:
@@ -533,7 +533,7 @@
         return place.policy if place else policies.Policy()
 
     async def _drain(self) -> None:
-        """Waits until servers are handed over and requests have ended."""
+        """Announces the shutdown; waits for handovers and requests to end."""
         self._peer_watcher.self_leaving = True
         self._ring.add(events.DrainBegan(self._in_flight))
         loguru.logger.info("draining, {} requests in flight", self._in_flight)
