--- a/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/checks.py
@@ -1,32 +1,33 @@
-"""What must hold in a house, whatever happens to it."""
+"""Checks of the guarantees that must hold in a cluster in spite of faults."""
 
 from typing import NamedTuple
 
 import anyio
 
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import faults
-from bridgecross_emulator import house as houses
 from bridgecross_emulator import instances
 from bridgecross_entry import keymap
 
 IN_FORCE_WITHIN_S = 2.0
 """From the log's acknowledgement of a configuration to its use everywhere."""
 
-IN_TOUCH_AFTER_S = 3.0
-"""For so long an instance and the log must have been left in peace."""
+UNDISTURBED_AFTER_S = 3.0
+"""How long an instance and the log must have been undisturbed for checks of
+delays to apply to the instance."""
 
-EMPTY_WITHIN_S = 5.0
+EVACUATED_WITHIN_S = 5.0
 """From the log's acknowledgement of an evacuation to its use everywhere."""
 
 SERVED_AGAIN_WITHIN_S = 8.0
-"""After the last fault: entries come back in 2.6 s, a lease lasts 2.7 s and an
-earlier leader's orders 2 s."""
+"""From the end of the last fault until all keys are served: entries return
+within 2.6 s, a lease lasts 2.7 s, and the orders of an earlier leader 2 s."""
 
-_LOOK_S = 0.05
+_CHECK_INTERVAL_S = 0.05
 
 
 class Violation(NamedTuple):
-    """A promise that did not hold."""
+    """A violated guarantee."""
 
     promise: str
     at_s: float
@@ -34,26 +35,29 @@
 
 
 class ConfigurationCheck:
-    """In force in time wherever an instance is in touch; never back."""
+    """Checks that new versions are in force in time, and never old ones.
+
+    The time limit applies to undisturbed instances.
+    """
 
     def __init__(self, scene: faults.Scene) -> None:
-        """Has seen nothing."""
+        """Initializes the check without violations."""
         self.violations: list[Violation] = []
         self._scene = scene
-        # The highest version that each life of an instance has used.
+        # The highest version that each process of an instance has used.
         self._highest: dict[instances.EmulatedInstance, int] = {}
 
     async def run(self) -> None:
-        """Looks again and again, until cancelled."""
+        """Checks all running instances periodically, until cancelled."""
         while True:
-            for instance in self._scene.house.instances:
-                if not instance.host.stands_still:
+            for instance in self._scene.cluster.instances:
+                if not instance.host.is_paused:
                     self.look(instance)
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
-        """Compares what one instance uses with what was published."""
-        now_s = self._scene.house.now_s
+        """Compares the version that an instance uses with those published."""
+        now_s = self._scene.cluster.now_s
         used = instance.configuration_version or 0
         name = instance.settings.name
         highest = self._highest.get(instance, 0)
@@ -61,46 +65,46 @@
             detail = f"{name} went from version {highest} to {used}"
             self._note("configuration never goes back", detail)
         self._highest[instance] = max(highest, used)
-        if self._scene.disturbances.calm_s(name) < IN_TOUCH_AFTER_S:
+        if self._scene.disturbances.undisturbed_s(name) < UNDISTURBED_AFTER_S:
             return
-        due_s = now_s - IN_FORCE_WITHIN_S - _LOOK_S
-        published = self._scene.house.published
+        due_s = now_s - IN_FORCE_WITHIN_S - _CHECK_INTERVAL_S
+        published = self._scene.cluster.published
         due = [p.version for p in published if p.acknowledged_s <= due_s]
         if due and used < due[-1]:
             detail = f"{name} uses version {used} instead of {due[-1]}"
             self._note("configuration in force in time", detail)
 
     def _note(self, promise: str, detail: str) -> None:
-        """Keeps a violation once."""
-        at_s = round(self._scene.house.now_s, 3)
+        """Records a violation, unless it is already recorded."""
+        at_s = round(self._scene.cluster.now_s, 3)
         if not any(v.detail == detail for v in self.violations):
             self.violations.append(Violation(promise, at_s, detail))
 
 
 class EvacuationCheck:
-    """Servers of an evacuated domain may be sent nothing after the bound."""
+    """Checks that evacuated servers are unused after ``EVACUATED_WITHIN_S``."""
 
     def __init__(self, scene: faults.Scene) -> None:
-        """Has seen nothing."""
+        """Initializes the check without violations."""
         self.violations: list[Violation] = []
         self._scene = scene
 
     async def run(self) -> None:
-        """Looks again and again, until cancelled."""
+        """Checks undisturbed instances periodically, until cancelled."""
         while True:
-            for instance in self._scene.house.instances:
+            for instance in self._scene.cluster.instances:
                 name = instance.settings.name
-                calm_s = self._scene.disturbances.calm_s(name)
-                stands = instance.host.stands_still
-                if not stands and calm_s >= IN_TOUCH_AFTER_S:
+                calm_s = self._scene.disturbances.undisturbed_s(name)
+                stands = instance.host.is_paused
+                if not stands and calm_s >= UNDISTURBED_AFTER_S:
                     self.look(instance)
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_CHECK_INTERVAL_S)
 
     def look(self, instance: instances.EmulatedInstance) -> None:
-        """Looks whether an instance in touch may still use such a server."""
-        house = self._scene.house
-        for domain, taken_s in house.evacuated_s.items():
-            if house.now_s < taken_s + EMPTY_WITHIN_S + _LOOK_S:
+        """Checks whether an instance may still use an evacuated server."""
+        cluster = self._scene.cluster
+        for domain, taken_s in cluster.evacuated_s.items():
+            if cluster.now_s < taken_s + EVACUATED_WITHIN_S + _CHECK_INTERVAL_S:
                 continue
             used = [
                 s.listed.name
@@ -113,32 +117,35 @@
             if used and not any(domain in v.detail for v in self.violations):
                 detail = f"{instance.settings.name} uses {used} of {domain}"
                 violation = Violation(
-                    "an evacuated domain is empty", house.now_s, detail
+                    "an evacuated domain is empty", cluster.now_s, detail
                 )
                 self.violations.append(violation)
 
 
-DEADLY_ENDS_MAX_COUNT = 3
-"""Servers that may end under one request before none gets it any more."""
+POISON_CRASHES_MAX_COUNT = 3
+"""How many servers a poison request may crash before it is refused."""
 
 
-def check_deadly(house: houses.House, calm_s: float) -> list[Violation]:
-    """Returns requests under which servers went on to end.
+def check_poison_requests(
+    cluster: clusters.Cluster, calm_s: float
+) -> list[Violation]:
+    """Returns poison requests that crashed too many servers.
 
-    While instances are lost or cut off, some may not know what others saw.
+    Crashes before the end of the last fault do not count: while instances are
+    lost or cut off, some may not know of crashes that others have seen.
 
     Args:
-        house: The house.
-        calm_s: Since when nothing has been wrong but those requests.
+        cluster: The cluster.
+        calm_s: When the last fault ended, apart from poison requests.
     """
     found = []
-    for target in sorted(house.fleet.deadly):
+    for target in sorted(cluster.fleet.poison_targets):
         ends = [
             end
-            for end in house.fleet.ends
+            for end in cluster.fleet.ends
             if end.target == target and end.at_s > calm_s
         ]
-        if len(ends) > DEADLY_ENDS_MAX_COUNT:
+        if len(ends) > POISON_CRASHES_MAX_COUNT:
             detail = f"{len(ends)} servers ended under {target.decode()}"
             violation = Violation(
                 "three servers end under a request", ends[-1].at_s, detail
@@ -147,8 +154,8 @@
     return found
 
 
-def check_owners(house: houses.House) -> list[Violation]:
-    """Returns where two servers held a key at the same time."""
+def check_owners(cluster: clusters.Cluster) -> list[Violation]:
+    """Returns violations in which two servers held a key at the same time."""
     return [
         Violation(
             "one owner a key",
@@ -156,17 +163,17 @@
             f"{overlap.server} takes key {overlap.first_key}, "
             f"which {overlap.other} holds",
         )
-        for overlap in house.fleet.overlaps
+        for overlap in cluster.fleet.overlaps
     ]
 
 
-def check_handovers(house: houses.House) -> list[Violation]:
-    """Returns keys that were given on while their last holder worked on them.
+def check_handovers(cluster: clusters.Cluster) -> list[Violation]:
+    """Returns keys that were granted while the previous holder worked on them.
 
-    That is, before the lease was over under which it did so.
+    Work counts only until the end of the lease under which it runs.
     """
     found: dict[str, Violation] = {}
-    for each in house.fleet.premature:
+    for each in cluster.fleet.premature:
         detail = (
             f"{each.server} takes key {each.key}, on which {each.other} works"
         )
@@ -176,25 +183,28 @@
 
 
 TOPICS_KNOWN_WITHIN_S = 6.0
-"""After all is calm, each instance knows a topic as it was so long ago: key
-maps are waited for in the log for 5 s, where nobody tells of them."""
+"""Without faults, each instance knows all records of a topic that are older
+than this: where no other instance relays key maps, reads of the log wait for
+them for 5 s."""
 
 
-def find_ends(house: houses.House) -> dict[str, int]:
-    """Returns where each topic ends at this moment."""
-    offsets = house.instances[0].parts.cluster_state.offsets()
-    return {each.topic: house.log.end(each.topic) for each in offsets}
+def find_ends(cluster: clusters.Cluster) -> dict[str, int]:
+    """Returns the current end of each topic."""
+    offsets = cluster.instances[0].parts.cluster_state.offsets()
+    return {each.topic: cluster.log.end(each.topic) for each in offsets}
 
 
-def check_topics(house: houses.House, ends: dict[str, int]) -> list[Violation]:
-    """Returns topics that an instance has stopped to follow.
+def check_topics(
+    cluster: clusters.Cluster, ends: dict[str, int]
+) -> list[Violation]:
+    """Returns topics that an instance has stopped following.
 
     Args:
-        house: The house.
-        ends: Where the topics ended a while ago.
+        cluster: The cluster.
+        ends: Where the topics ended ``TOPICS_KNOWN_WITHIN_S`` ago.
     """
     found = []
-    for instance in house.instances:
+    for instance in cluster.instances:
         for each in instance.parts.cluster_state.offsets():
             end = ends[each.topic]
             if (each.next_offset or 0) < end:
@@ -202,29 +212,33 @@
                     f"{instance.settings.name} knows {each.topic} up to "
                     f"{each.next_offset} of {end}"
                 )
-                found.append(Violation("a topic goes on", house.now_s, detail))
+                found.append(
+                    Violation("a topic goes on", cluster.now_s, detail)
+                )
     return found
 
 
-def check_served(house: houses.House) -> list[Violation]:
-    """Returns keys that no server holds, or not the one that instances ask."""
+def check_served(cluster: clusters.Cluster) -> list[Violation]:
+    """Returns keys that are not held by their known owner, and only by it."""
     found = []
-    for instance in house.instances:
+    for instance in cluster.instances:
         key_map = instance.parts.table.newest(instances.SERVICE)
         for key_range in key_map.ranges if key_map else ():
-            detail = _find_fault(house, key_range)
+            detail = _find_fault(cluster, key_range)
             if detail:
                 detail = f"{instance.settings.name}: {detail}"
-                found.append(Violation("keys are served", house.now_s, detail))
+                found.append(
+                    Violation("keys are served", cluster.now_s, detail)
+                )
         if key_map is None:
             detail = f"{instance.settings.name} knows no key map"
-            found.append(Violation("keys are served", house.now_s, detail))
+            found.append(Violation("keys are served", cluster.now_s, detail))
     return found
 
 
-def _find_fault(house: houses.House, key_range: keymap.KeyRange) -> str:
-    """Returns why a range is not served by its owner; empty if it is."""
-    holders = house.fleet.holders(key_range.first_key)
+def _find_fault(cluster: clusters.Cluster, key_range: keymap.KeyRange) -> str:
+    """Returns why a range is not served by its owner; "" if it is."""
+    holders = cluster.fleet.holders(key_range.first_key)
     names = [f"{h.name}@{h.started_ms:x}" for h in holders]
     if names == [key_range.owner]:
         return ""
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/faults.py
@@ -1,8 +1,8 @@
-"""What may happen to a house, as events that can be drawn, kept and replayed.
+"""Faults of a cluster, as events that can be drawn, saved and replayed.
 
-An event is a kind, a target by its number, a moment and a length. Kinds begin
-and end something; whoever disturbs an instance or the log says so, since some
-promises hold only for instances in touch.
+An event consists of a kind, the number of a target, a time and a duration. A
+kind says how a fault begins and ends, and whether it disturbs an instance or
+the log, because some guarantees hold only for undisturbed instances.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 import anyio
 
-from bridgecross_emulator import house as houses
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import instances
 from bridgecross_emulator import servers
 from bridgecross_entry import cluster_state
@@ -30,123 +30,125 @@
 
 _CHANGE_SHARE = 0.5
 _CHANGE_WITHIN_S = 0.3
-"""Half of the faults of instances are followed by a change of configuration
-this soon: a change that nobody knows yet at that moment does the most harm."""
+"""Half of the faults of instances are followed by a change of the configuration
+within this time: faults do the most harm to a change that nobody knows yet."""
 
 
 class Event(NamedTuple):
-    """One thing that happens."""
+    """One fault, or one planned operation."""
 
     at_s: float
     kind: str
-    # The number of an instance, a server or a topic, by the kind.
+    # The number of an instance, a server or a topic, depending on the kind.
     target: int
-    # How long it lasts; 0 for what happens at a moment.
+    # The duration; 0 for an event that has none.
     for_s: float
 
 
 class Disturbances:
-    """Since when instances and the log have been left in peace."""
+    """Records which instances are disturbed, and whether the log is."""
 
-    def __init__(self, house: houses.House) -> None:
-        """Nothing has happened."""
-        self._house = house
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        """Initializes the records without a disturbance."""
+        self._cluster = cluster
         # When the last disturbance ended; infinite while one lasts.
         self._until_s: dict[str, float] = {}
         self._lasting: dict[str, int] = {}
 
     def begin(self, name: str) -> None:
-        """Takes it that a disturbance begins; empty for the log's."""
+        """Records the start of a disturbance; "" stands for the log."""
         self._lasting[name] = self._lasting.get(name, 0) + 1
         self._until_s[name] = math.inf
 
     def end(self, name: str) -> None:
-        """Takes it that one ends."""
+        """Records the end of a disturbance."""
         self._lasting[name] -= 1
         if not self._lasting[name]:
-            self._until_s[name] = self._house.now_s
+            self._until_s[name] = self._cluster.now_s
 
-    def calm_s(self, name: str) -> float:
-        """Returns for how long an instance and the log have had peace."""
+    def undisturbed_s(self, name: str) -> float:
+        """Returns how long an instance and the log have been undisturbed."""
         until_s = max(self._until_s.get(each, -math.inf) for each in (name, ""))
-        return self._house.now_s - until_s
+        return self._cluster.now_s - until_s
 
 
 class Scene(NamedTuple):
-    """A house, and what has happened to it."""
+    """A cluster and its disturbances."""
 
-    house: houses.House
+    cluster: clusters.Cluster
     disturbances: Disturbances
 
     def instance(self, target: int) -> instances.EmulatedInstance:
-        """Returns an instance by its number; 0 is whoever leads."""
-        present = self.house.instances
-        if target == 0 and any(x.event == "leads" for x in self.house.lines):
-            return self.house.leader
+        """Returns an instance by its number; 0 is the current leader."""
+        present = self.cluster.instances
+        if target == 0 and any(x.event == "leads" for x in self.cluster.lines):
+            return self.cluster.leader
         return present[target % len(present)]
 
     def domain(self, target: int) -> str:
         """Returns a failure domain of servers by its number."""
-        present = {s.domain for s in self.house.fleet.servers.values()}
+        present = {s.domain for s in self.cluster.fleet.servers.values()}
         return sorted(present)[target % len(present)]
 
     def server(self, target: int) -> servers.EmulatedServer:
         """Returns a server by its number."""
-        present = list(self.house.fleet.servers.values())
+        present = list(self.cluster.fleet.servers.values())
         return present[target % len(present)]
 
 
 End = Callable[[], None]
 Begin = Callable[[Scene, int], End]
-"""Begins something; returns what ends it."""
+"""Begins a fault of a target; returns a function that ends it."""
 
 
 def _cut_off_log(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.cut()
-    return way.heal
+    log_client = scene.instance(target).log_client
+    log_client.cut()
+    return log_client.heal
 
 
-def _turn_away(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.turned_away = True
+def _reject(scene: Scene, target: int) -> End:
+    log_client = scene.instance(target).log_client
+    log_client.rejected = True
 
     def end() -> None:
-        way.turned_away = False
+        log_client.rejected = False
 
     return end
 
 
 def _slow_log(scene: Scene, target: int) -> End:
-    way = scene.instance(target).way
-    way.slow_ratio = 60.0
+    log_client = scene.instance(target).log_client
+    log_client.slow_ratio = 60.0
 
     def end() -> None:
-        way.slow_ratio = 1.0
+        log_client.slow_ratio = 1.0
 
     return end
 
 
 def _kill(scene: Scene, target: int) -> End:
     instance = scene.instance(target)
-    if instance.is_dead:
+    if instance.is_killed:
         return lambda: None
     instance.kill()
-    return lambda: scene.house.restart(instance)
+    return lambda: scene.cluster.restart(instance)
 
 
 def _freeze(scene: Scene, target: int) -> End:
     instance = scene.instance(target)
-    scene.house.freeze(instance)
-    return lambda: scene.house.thaw(instance)
+    scene.cluster.pause(instance)
+    return lambda: scene.cluster.resume(instance)
 
 
-def _separate(scene: Scene, target: int, *, speaks: bool, hears: bool) -> End:
+def _cut_from_peers(
+    scene: Scene, target: int, *, speaks: bool, hears: bool
+) -> End:
     """Cuts an instance off from the others, in one direction or in both."""
-    network = scene.house.network
+    network = scene.cluster.network
     own = scene.instance(target).settings.peer_address
     pairs = []
-    for other in scene.house.instances:
+    for other in scene.cluster.instances:
         address = other.settings.peer_address
         if address != own:
             pairs += [] if speaks else [(own, address)]
@@ -156,51 +158,51 @@
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
 
 def _isolate(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=False, hears=False)
+    return _cut_from_peers(scene, target, speaks=False, hears=False)
 
 
-def _mute(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=False, hears=True)
+def _cut_outbound(scene: Scene, target: int) -> End:
+    return _cut_from_peers(scene, target, speaks=False, hears=True)
 
 
-def _deafen(scene: Scene, target: int) -> End:
-    return _separate(scene, target, speaks=True, hears=False)
+def _cut_inbound(scene: Scene, target: int) -> End:
+    return _cut_from_peers(scene, target, speaks=True, hears=False)
 
 
-def _take_log_away(scene: Scene, target: int) -> End:
-    scene.house.log.is_away = True
+def _make_log_unavailable(scene: Scene, target: int) -> End:
+    scene.cluster.log.is_unavailable = True
 
     def end() -> None:
-        scene.house.log.is_away = False
+        scene.cluster.log.is_unavailable = False
 
     return end
 
 
-def _take_topic_away(scene: Scene, target: int) -> End:
+def _make_topic_unavailable(scene: Scene, target: int) -> End:
     topic = _TOPICS[target % len(_TOPICS)]
-    scene.house.log.away_topics.add(topic)
-    return lambda: scene.house.log.away_topics.discard(topic)
+    scene.cluster.log.unavailable_topics.add(topic)
+    return lambda: scene.cluster.log.unavailable_topics.discard(topic)
 
 
 def _silence(scene: Scene, target: int) -> End:
-    scene.house.silence()
+    scene.cluster.silence()
     return lambda: None
 
 
-def _forget(scene: Scene, target: int) -> End:
+def _drop_history(scene: Scene, target: int) -> End:
     for topic in _TOPICS:
-        scene.house.log.forget(topic)
+        scene.cluster.log.drop_history(topic)
     return lambda: None
 
 
 def _change(scene: Scene, target: int) -> End:
-    scene.house.publish()
+    scene.cluster.publish()
     return lambda: None
 
 
@@ -208,7 +210,7 @@
     value = _FOREIGN[target % len(_FOREIGN)]
     name = f"i-{target}" if target % 2 else "somebody"
     record = logs.KeyedRecord(name, value)
-    scene.house.log.add(servers.SERVER_TOPIC, record)
+    scene.cluster.log.add(servers.SERVER_TOPIC, record)
     return lambda: None
 
 
@@ -219,7 +221,7 @@
 
 
 def _leave_server(scene: Scene, target: int) -> End:
-    """It says that it leaves, and starts again under its name."""
+    """A server announces that it leaves, and restarts under the same name."""
     server = scene.server(target)
     server.is_leaving = True
     server.write_entry()
@@ -232,15 +234,15 @@
 
 
 def _cut_server(scene: Scene, target: int) -> End:
-    network = scene.house.network
+    network = scene.cluster.network
     server = scene.server(target).address
-    pairs = [(i.settings.peer_address, server) for i in scene.house.instances]
+    pairs = [(i.settings.peer_address, server) for i in scene.cluster.instances]
     for pair in pairs:
         network.cut(*pair)
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
@@ -258,24 +260,26 @@
 
 def _take_orders_late(scene: Scene, target: int) -> End:
     server = scene.server(target)
-    server.lateness = servers.Lateness(grant_ratio=1.0)
+    server.order_faults = servers.OrderFaults(grant_ratio=1.0)
 
     def end() -> None:
-        server.lateness = servers.Lateness()
+        server.order_faults = servers.OrderFaults()
 
     return end
 
 
 def _evacuate(scene: Scene, target: int) -> End:
-    """The operator empties a failure domain of servers."""
+    """The operator evacuates a failure domain of servers."""
     domain = scene.domain(target)
-    scene.house.evacuate(domain)
-    return lambda: scene.house.take_back(domain)
+    scene.cluster.evacuate(domain)
+    return lambda: scene.cluster.end_evacuation(domain)
 
 
-def _ask_deadly(scene: Scene, target: int) -> End:
-    """From now on callers ask for a request that ends servers."""
-    scene.house.fleet.deadly.add(f"/{instances.SERVICE}/{target}".encode())
+def _add_poison_request(scene: Scene, target: int) -> End:
+    """From now on, callers send a poison request."""
+    scene.cluster.fleet.poison_targets.add(
+        f"/{instances.SERVICE}/{target}".encode()
+    )
     return lambda: None
 
 
@@ -283,35 +287,37 @@
     """One kind of event."""
 
     begin: Begin
-    # How often it is drawn, against others.
+    # The relative frequency with which it is drawn.
     weight: float
-    # Whether its target, an instance, is not in touch meanwhile.
+    # Whether its target, an instance, is disturbed by it.
     disturbs_target: bool = False
-    # Whether nobody is, since it concerns the log or all connections.
+    # Whether all instances are, because it affects the log or all connections.
     disturbs_all: bool = False
-    # Whether it happens at a moment.
+    # Whether it has no duration.
     is_momentary: bool = False
 
 
 EVACUATION = "evacuation"
-DEADLY = "deadly request"
+POISON = "deadly request"
 
 KINDS = {
     "log cut": Kind(_cut_off_log, 3, disturbs_target=True),
-    "turned away": Kind(_turn_away, 2, disturbs_target=True),
+    "turned away": Kind(_reject, 2, disturbs_target=True),
     "slow to log": Kind(_slow_log, 1, disturbs_target=True),
     "killed": Kind(_kill, 2, disturbs_target=True),
     "frozen": Kind(_freeze, 3, disturbs_target=True),
-    # These reach the log, and so are in touch.
+    # Not disturbances, because the instances still reach the log.
     "isolated": Kind(_isolate, 2),
-    "mute": Kind(_mute, 1),
-    "deaf": Kind(_deafen, 1),
-    "log away": Kind(_take_log_away, 1, disturbs_all=True),
-    "topic away": Kind(_take_topic_away, 1, disturbs_all=True),
+    "mute": Kind(_cut_outbound, 1),
+    "deaf": Kind(_cut_inbound, 1),
+    "log away": Kind(_make_log_unavailable, 1, disturbs_all=True),
+    "topic away": Kind(_make_topic_unavailable, 1, disturbs_all=True),
     "connections silent": Kind(
         _silence, 1, disturbs_all=True, is_momentary=True
     ),
-    "history forgotten": Kind(_forget, 1, disturbs_all=True, is_momentary=True),
+    "history forgotten": Kind(
+        _drop_history, 1, disturbs_all=True, is_momentary=True
+    ),
     "change": Kind(_change, 5, is_momentary=True),
     "foreign record": Kind(_write_foreign, 1, is_momentary=True),
     "server crash": Kind(_crash_server, 3),
@@ -319,20 +325,20 @@
     "server cut": Kind(_cut_server, 2),
     "server off log": Kind(_cut_server_off_log, 1),
     "orders late": Kind(_take_orders_late, 1),
-    # Drawn apart from the others.
+    # Drawn separately from the others.
     EVACUATION: Kind(_evacuate, 0),
-    DEADLY: Kind(_ask_deadly, 0, is_momentary=True),
+    POISON: Kind(_add_poison_request, 0, is_momentary=True),
 }
 
 
 _PLANNED_SHARE = 0.5
 _PLANNED_FOR_S = (1.0, 12.0)
-"""Half of the houses see one of their failure domains evacuated, for less time
-than it takes up to long after it is empty."""
+"""Half of the simulations evacuate a failure domain. The durations range
+from less time than the evacuation takes to long after the domain is empty."""
 
 
 def draw_planned(seed: int, length_s: float) -> tuple[Event, ...]:
-    """Returns planned work, drawn apart from the other events of a seed."""
+    """Returns planned evacuations, drawn separately from a seed's events."""
     rng = random.Random(f"planned {seed}")
     if rng.random() > _PLANNED_SHARE:
         return ()
@@ -341,24 +347,24 @@
     return (Event(at_s, EVACUATION, rng.choice([0, 1]), for_s),)
 
 
-_DEADLY_SHARE = 0.5
-"""Half of the houses are asked for requests that end servers, early enough for
-three to have ended before all is calm."""
+_POISON_SHARE = 0.5
+"""Half of the simulations contain poison requests. They start early enough that
+three servers crash before the last fault ends."""
 
 
-def draw_deadly(seed: int, length_s: float) -> tuple[Event, ...]:
-    """Returns requests that end servers, drawn apart from a seed's events."""
+def draw_poison_requests(seed: int, length_s: float) -> tuple[Event, ...]:
+    """Returns poison requests, drawn separately from a seed's events."""
     rng = random.Random(f"deadly {seed}")
-    if rng.random() > _DEADLY_SHARE:
+    if rng.random() > _POISON_SHARE:
         return ()
     return tuple(
-        Event(round(rng.uniform(0.0, length_s / 2), 3), DEADLY, target, 0.0)
+        Event(round(rng.uniform(0.0, length_s / 2), 3), POISON, target, 0.0)
         for target in range(rng.choice([1, 1, 2]))
     )
 
 
 def draw(seed: int, count: int, length_s: float) -> tuple[Event, ...]:
-    """Returns random events; the same for the same seed."""
+    """Returns random events, which depend only on the arguments."""
     rng = random.Random(seed)
     names = [name for name, kind in KINDS.items() if kind.weight]
     weights = [KINDS[name].weight for name in names]
@@ -383,14 +389,14 @@
     return tuple(sorted(events))
 
 
-async def play(
+async def inject(
     scene: Scene, events: tuple[Event, ...], kinds: Mapping[str, Kind] = KINDS
 ) -> None:
-    """Lets events happen, counted from now; returns after the last end."""
-    begun_s = scene.house.now_s
+    """Injects events, with times relative to now; waits until all are over."""
+    begun_s = scene.cluster.now_s
 
     async def happen(event: Event) -> None:
-        await anyio.sleep(begun_s + event.at_s - scene.house.now_s)
+        await anyio.sleep(begun_s + event.at_s - scene.cluster.now_s)
         kind = kinds[event.kind]
         disturbed = ""
         if kind.disturbs_target:
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/moving.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/move_faults.py
@@ -1,8 +1,9 @@
-"""What may happen to a house while its keys move, and who asks for them.
+"""Faults of a cluster while keys move and requests for them arrive.
 
-These events are drawn apart from those of ``faults``, some of which come beside
-them: callers all the while, ranges that run hot, servers that join, and what
-makes orders and maps arrive in part, late or without an answer.
+These events are drawn separately from those of ``faults``, some of which are
+mixed in. They consist of steady traffic, ranges under high load, servers that
+join, and faults that cause orders and key maps to be lost in part, late or
+unanswered.
 """
 
 import itertools
@@ -28,35 +29,36 @@
 _HOT_RATE_PER_S = 18.0
 _HOT_KEYS = 300
 _HOT_STEP = 9_973
-"""Hot ranges begin at multiples of this, far from one another."""
+"""Hot ranges begin at multiples of this, so that they are far apart."""
 
 _LOST_RATIO = 0.3
 _LATE_RATIO = 0.5
 _APPEND_LATE_S = 1.2
-"""A call to the log is given up after 0.8 s: by then nothing of it is done."""
+"""Longer than the 0.8 s after which a call to the log times out, so that the
+append is carried out after the timeout."""
 
 _KILL_AFTER_S = 0.002
 
 
-def _ask(scene: faults.Scene, target: int) -> faults.End:
+def _send_requests(scene: faults.Scene, target: int) -> faults.End:
     asked = traffic.Traffic(
-        scene.house, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
+        scene.cluster, keymap.FIRST_KEY, keymap.LAST_KEY, _RATE_PER_S
     )
     asked.start()
     return asked.stop
 
 
-def _heat(scene: faults.Scene, target: int) -> faults.End:
+def _start_hot_range(scene: faults.Scene, target: int) -> faults.End:
     first_key = target * _HOT_STEP % keymap.LAST_KEY
     last_key = first_key + _HOT_KEYS - 1
-    asked = traffic.Traffic(scene.house, first_key, last_key, _HOT_RATE_PER_S)
+    asked = traffic.Traffic(scene.cluster, first_key, last_key, _HOT_RATE_PER_S)
     asked.start()
     return asked.stop
 
 
 def _join_server(scene: faults.Scene, target: int) -> faults.End:
-    """Another server starts, and stays."""
-    fleet = scene.house.fleet
+    """Another server starts, and keeps running."""
+    fleet = scene.cluster.fleet
     number = len(fleet.servers)
     address = model.Address(f"10.2.1.{number}", 8_609)
     fleet.add(f"j-{number}", instances.SERVICE, address, scene.domain(target))
@@ -64,35 +66,35 @@
 
 
 def _lose_answers(scene: faults.Scene, target: int) -> faults.End:
-    """What an instance appends is done, and not answered."""
+    """Appends of an instance are carried out but not answered."""
     return _delay_appends(scene, target, 0.0)
 
 
 def _append_late(scene: faults.Scene, target: int) -> faults.End:
-    """What an instance appends is done after it was given up."""
+    """Appends of an instance are carried out after they have timed out."""
     return _delay_appends(scene, target, _APPEND_LATE_S)
 
 
 def _delay_appends(
     scene: faults.Scene, target: int, late_s: float
 ) -> faults.End:
-    way = scene.instance(target).way
-    way.append_late_s = late_s
+    log_client = scene.instance(target).log_client
+    log_client.append_delay_s = late_s
 
     def end() -> None:
-        way.append_late_s = None
+        log_client.append_delay_s = None
 
     return end
 
 
 def _kill_after_append(scene: faults.Scene, target: int) -> faults.End:
-    """Whoever appends the next key map is killed before it is answered."""
-    log = scene.house.log
+    """The leader that appends the next key map is killed before the answer."""
+    log = scene.cluster.log
     killed: list[instances.EmulatedInstance] = []
 
     def kill() -> None:
-        leader = scene.house.leader
-        if not leader.is_dead:
+        leader = scene.cluster.leader
+        if not leader.is_killed:
             leader.kill()
             killed.append(leader)
 
@@ -106,44 +108,44 @@
     def end() -> None:
         log.on_appended = lambda _: None
         for instance in killed:
-            scene.house.restart(instance)
+            scene.cluster.restart(instance)
 
     return end
 
 
 def _delay_orders(
-    scene: faults.Scene, target: int, lateness: servers.Lateness
+    scene: faults.Scene, target: int, order_faults: servers.OrderFaults
 ) -> faults.End:
     server = scene.server(target)
-    server.lateness = lateness
+    server.order_faults = order_faults
 
     def end() -> None:
-        server.lateness = servers.Lateness()
+        server.order_faults = servers.OrderFaults()
 
     return end
 
 
 def _delay_some(scene: faults.Scene, target: int) -> faults.End:
-    lateness = servers.Lateness(_LATE_RATIO, _LATE_RATIO)
-    return _delay_orders(scene, target, lateness)
+    order_faults = servers.OrderFaults(_LATE_RATIO, _LATE_RATIO)
+    return _delay_orders(scene, target, order_faults)
 
 
 def _delay_releases(scene: faults.Scene, target: int) -> faults.End:
-    lateness = servers.Lateness(release_ratio=1.0)
-    return _delay_orders(scene, target, lateness)
+    order_faults = servers.OrderFaults(release_ratio=1.0)
+    return _delay_orders(scene, target, order_faults)
 
 
 def _silence_server(scene: faults.Scene, target: int) -> faults.End:
-    """Orders reach a server, and requests; its answers reach nobody."""
-    network = scene.house.network
+    """Orders and requests reach a server, but its answers reach no instance."""
+    network = scene.cluster.network
     server = scene.server(target).address
-    pairs = [(server, i.settings.peer_address) for i in scene.house.instances]
+    pairs = [(server, i.settings.peer_address) for i in scene.cluster.instances]
     for pair in pairs:
         network.cut(*pair)
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
+            network.undo_cut(*pair)
 
     return end
 
@@ -151,32 +153,32 @@
 def _find_pair(
     scene: faults.Scene, target: int
 ) -> tuple[model.Address, model.Address]:
-    """Returns where an instance and a server are, by the number of a pair."""
-    count = len(scene.house.instances)
+    """Returns the addresses of an instance and a server, by a pair's number."""
+    count = len(scene.cluster.instances)
     instance = scene.instance(target % count)
     server = scene.server(target // count)
     return instance.settings.peer_address, server.address
 
 
 def _lose_packets(scene: faults.Scene, target: int) -> faults.End:
-    """A link between an instance and a server is lossy."""
+    """The link between an instance and a server loses packets."""
     return _lose_between(scene, [_find_pair(scene, target)])
 
 
 def _lose_all_around(scene: faults.Scene, target: int) -> faults.End:
-    """All links between an instance and servers are lossy.
+    """All links between an instance and the servers lose packets.
 
-    Orders then overtake one another, those about the same range too.
+    Orders can then overtake each other, including orders for the same range.
     """
     own = scene.instance(target).settings.peer_address
-    present = scene.house.fleet.servers
+    present = scene.cluster.fleet.servers
     return _lose_between(scene, [(own, address) for address in present])
 
 
 def _lose_between(
     scene: faults.Scene, pairs: list[tuple[model.Address, model.Address]]
 ) -> faults.End:
-    network = scene.house.network
+    network = scene.cluster.network
     both = [*pairs, *((receiver, sender) for sender, receiver in pairs)]
     for pair in both:
         network.lose(*pair, _LOST_RATIO)
@@ -188,65 +190,68 @@
     return end
 
 
-def _cut_way(scene: faults.Scene, target: int) -> faults.End:
-    """A server hears nothing of one instance."""
-    network = scene.house.network
+def _cut_requests(scene: faults.Scene, target: int) -> faults.End:
+    """A server receives nothing from one instance."""
+    network = scene.cluster.network
     pair = _find_pair(scene, target)
     network.cut(*pair)
-    return lambda: network.mend(*pair)
+    return lambda: network.undo_cut(*pair)
 
 
 def _cut_answers(scene: faults.Scene, target: int) -> faults.End:
-    """One instance hears nothing of a server."""
-    network = scene.house.network
+    """One instance receives nothing from a server."""
+    network = scene.cluster.network
     sender, receiver = _find_pair(scene, target)
     network.cut(receiver, sender)
-    return lambda: network.mend(receiver, sender)
+    return lambda: network.undo_cut(receiver, sender)
 
 
-def _part(scene: faults.Scene, target: int) -> faults.End:
-    """An instance and a domain of servers see nobody else, nor the log."""
-    network = scene.house.network
+def _partition(scene: faults.Scene, target: int) -> faults.End:
+    """An instance and a domain of servers are cut off from all else.
+
+    The instance is cut off the log as well.
+    """
+    network = scene.cluster.network
     inside = scene.instance(target)
     own = inside.settings.peer_address
     domain = scene.domain(target)
     near = [own]
-    far = [i.settings.peer_address for i in scene.house.instances]
+    far = [i.settings.peer_address for i in scene.cluster.instances]
     far.remove(own)
-    for server in scene.house.fleet.servers.values():
+    for server in scene.cluster.fleet.servers.values():
         (near if server.domain == domain else far).append(server.address)
     pairs = [*itertools.product(near, far), *itertools.product(far, near)]
     for pair in pairs:
         network.cut(*pair)
-    inside.way.cut()
+    inside.log_client.cut()
 
     def end() -> None:
         for pair in pairs:
-            network.mend(*pair)
-        inside.way.heal()
+            network.undo_cut(*pair)
+        inside.log_client.heal()
 
     return end
 
 
-def _mistake_server(scene: faults.Scene, target: int) -> faults.End:
+def _misidentify_server(scene: faults.Scene, target: int) -> faults.End:
     """One instance is told that another server has a server's address."""
-    mistaken = scene.house.fleet.mistaken
+    mistaken = scene.cluster.fleet.misidentified
     pair = _find_pair(scene, target)
     mistaken.add(pair)
     return lambda: mistaken.discard(pair)
 
 
 def _unlist_instance(scene: faults.Scene, target: int) -> faults.End:
-    """An instance is taken off the list, as one that was away for long."""
+    """An instance is removed from the list, as if it had long been down."""
     address = scene.instance(target).settings.peer_address
     gone = logs.KeyedRecord(str(address), b"")
-    scene.house.log.add(cluster_state.INSTANCE_TOPIC, gone)
+    scene.cluster.log.add(cluster_state.INSTANCE_TOPIC, gone)
     return lambda: None
 
 
 KINDS = {
-    TRAFFIC: faults.Kind(_ask, 0),
-    HOT_RANGE: faults.Kind(_heat, 0),
+    TRAFFIC: faults.Kind(_send_requests, 0),
+    HOT_RANGE: faults.Kind(_start_hot_range, 0),
     "server joins": faults.Kind(_join_server, 1, is_momentary=True),
     "log answers lost": faults.Kind(_lose_answers, 3, disturbs_target=True),
     "log appends late": faults.Kind(_append_late, 3, disturbs_target=True),
@@ -257,18 +262,18 @@
     "releases late": faults.Kind(_delay_releases, 2),
     "server says nothing": faults.Kind(_silence_server, 2),
     "link lossy": faults.Kind(_lose_packets, 2),
-    "server deaf to one": faults.Kind(_cut_way, 2),
+    "server deaf to one": faults.Kind(_cut_requests, 2),
     "server mute to one": faults.Kind(_cut_answers, 2),
-    "parted": faults.Kind(_part, 3, disturbs_target=True),
-    # These are drawn apart.
+    "parted": faults.Kind(_partition, 3, disturbs_target=True),
+    # These are drawn separately.
     LOSSY: faults.Kind(_lose_all_around, 0),
-    MISTAKEN: faults.Kind(_mistake_server, 0),
+    MISTAKEN: faults.Kind(_misidentify_server, 0),
     UNLISTED: faults.Kind(
         _unlist_instance, 0, disturbs_target=True, is_momentary=True
     ),
 }
 
-_BESIDE = {
+_OTHER_WEIGHTS = {
     "log cut": 2.0,
     "turned away": 2.0,
     "slow to log": 1.0,
@@ -287,12 +292,12 @@
     "orders late": 1.0,
     faults.EVACUATION: 1.0,
 }
-"""How often faults of other kinds come beside these."""
+"""The weights of kinds from ``faults`` that are drawn together with these."""
 
 _HOT_RANGES_COUNT = 3
-_LENGTHS_S = (0.3, 1.0, 2.0, 4.0, 8.0)
-"""Typical lengths of events. The longest outlast all that is waited for: an
-earlier leader's orders, a lease after them, and one look more."""
+_DURATIONS_S = (0.3, 1.0, 2.0, 4.0, 8.0)
+"""Typical durations of events. The longest exceed the longest wait: for an
+earlier leader's orders, for a lease after them, and for one more check."""
 
 _HOT_FOR_S = (2.0, 6.0)
 _PAIRS_COUNT = 20
@@ -300,30 +305,32 @@
 
 
 def draw(seed: int, count: int, length_s: float) -> tuple[faults.Event, ...]:
-    """Returns random events beside callers; the same for the same seed."""
+    """Returns traffic and random events, which depend only on the arguments."""
     rng = random.Random(f"moving {seed}")
     events = [faults.Event(0.0, TRAFFIC, 0, length_s)]
     for _ in range(_HOT_RANGES_COUNT):
         at_s = round(rng.uniform(0.0, length_s / 2), 3)
         for_s = round(rng.uniform(*_HOT_FOR_S), 3)
         events.append(faults.Event(at_s, HOT_RANGE, rng.randrange(7), for_s))
-    weights = {name: kind.weight for name, kind in KINDS.items()} | _BESIDE
+    weights = {
+        name: kind.weight for name, kind in KINDS.items()
+    } | _OTHER_WEIGHTS
     kinds = {**faults.KINDS, **KINDS}
     drawn = rng.choices(list(weights), list(weights.values()), k=count)
     for name in drawn:
-        # Those who lead, and the first of the servers, are met most often.
+        # The leader and the first server are drawn most often.
         target = rng.choice([0, 0, 0, rng.randrange(_PAIRS_COUNT)])
-        events.append(_place(rng, name, target, kinds[name], length_s))
+        events.append(_draw_event(rng, name, target, kinds[name], length_s))
     return tuple(sorted(set(events)))
 
 
-def draw_apart(
+def draw_kind(
     seed: int, name: str, length_s: float
 ) -> tuple[faults.Event, ...]:
-    """Returns events of one kind, drawn apart from a seed's other events."""
+    """Returns events of one kind, drawn separately from a seed's others."""
     rng = random.Random(f"{name} {seed}")
     return tuple(
-        _place(
+        _draw_event(
             rng,
             name,
             rng.choice([0, rng.randrange(_PAIRS_COUNT)]),
@@ -334,7 +341,7 @@
     )
 
 
-def _place(
+def _draw_event(
     rng: random.Random,
     name: str,
     target: int,
@@ -342,7 +349,7 @@
     length_s: float,
 ) -> faults.Event:
     """Returns an event of a kind at a random time."""
-    for_s = rng.choice(_LENGTHS_S) * rng.uniform(0.5, 1.5)
+    for_s = rng.choice(_DURATIONS_S) * rng.uniform(0.5, 1.5)
     at_s = round(rng.uniform(0.0, length_s - min(for_s, length_s / 2)), 3)
     return faults.Event(
         at_s, name, target, 0.0 if kind.is_momentary else round(for_s, 3)
--- a/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
+++ b/libs/bridgecross-emulator/src/bridgecross_emulator/search.py
@@ -1,4 +1,4 @@
-"""Plays houses with random events; finds the fewest that break a promise."""
+"""Simulates clusters with random faults, and shrinks schedules that fail."""
 
 from collections.abc import Callable
 import json
@@ -12,91 +12,92 @@
 
 from bridgecross_emulator import callers
 from bridgecross_emulator import checks
+from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import faults
-from bridgecross_emulator import house as houses
 from bridgecross_emulator import instances
-from bridgecross_emulator import moving
+from bridgecross_emulator import move_faults
 from bridgecross_emulator import virtual
 
 FORMAT = "bridgecross-schedule-1"
-"""Stands in each kept schedule; another version is refused."""
+"""The format of saved schedules; files of another format are refused."""
 
-_KINDS = {**faults.KINDS, **moving.KINDS}
+_KINDS = {**faults.KINDS, **move_faults.KINDS}
 _EVENTS_COUNT = 14
 _LENGTH_S = 16.0
 _SETTLE_S = 6.0
-_QUIET_S = checks.SERVED_AGAIN_WITHIN_S
+_RECOVERY_S = checks.SERVED_AGAIN_WITHIN_S
 
 
-class Played(NamedTuple):
-    """What came of one house."""
+class SimulationResult(NamedTuple):
+    """The result of simulating one cluster."""
 
     violations: tuple[checks.Violation, ...]
     lines: tuple[instances.Line, ...]
 
 
-def play(
+def simulate(
     events: tuple[faults.Event, ...],
-    settings: houses.HouseSettings | None = None,
-) -> Played:
-    """Plays one house in virtual time.
+    settings: clusters.ClusterSettings | None = None,
+) -> SimulationResult:
+    """Simulates one cluster in virtual time.
 
     Args:
-        events: What happens, counted from when the house has settled.
-        settings: The house; five instances and four servers, if left out.
+        events: The faults, with times relative to when the cluster has settled.
+        settings: The cluster; five instances and four servers if omitted.
     """
     environment = simpy.Environment()
-    chosen = settings or houses.HouseSettings(
+    chosen = settings or clusters.ClusterSettings(
         server_count=4, server_domain_count=2
     )
 
     random.seed(chosen.seed)
 
-    async def main() -> Played:
+    async def main() -> SimulationResult:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(chosen, environment, tasks)
-            found = await _watch(house, events, tasks)
-            # Tasks are cancelled in no order that a seed could tell.
-            played = Played(tuple(found), tuple(house.lines))
-            house.stop()
+            cluster = clusters.Cluster(chosen, environment, tasks)
+            found = await _watch(cluster, events, tasks)
+            # Taken before the tasks are cancelled, the order of which is not
+            # determined by the seed.
+            played = SimulationResult(tuple(found), tuple(cluster.lines))
+            cluster.stop()
         return played
 
     return virtual.run(environment, main)
 
 
 async def _watch(
-    house: houses.House,
+    cluster: clusters.Cluster,
     events: tuple[faults.Event, ...],
     tasks: anyio.abc.TaskGroup,
 ) -> list[checks.Violation]:
-    """Lets events happen, and returns what did not hold."""
-    scene = faults.Scene(house, faults.Disturbances(house))
+    """Injects faults, and returns the violated guarantees."""
+    scene = faults.Scene(cluster, faults.Disturbances(cluster))
     configurations = checks.ConfigurationCheck(scene)
-    await house.start(_SETTLE_S)
+    await cluster.start(_SETTLE_S)
     evacuations = checks.EvacuationCheck(scene)
     tasks.start_soon(configurations.run)
     tasks.start_soon(evacuations.run)
-    tasks.start_soon(callers.DeadlyCallers(house, len(events)).run)
-    await faults.play(scene, events, _KINDS)
-    calm_s = house.now_s
-    await anyio.sleep(_QUIET_S - checks.TOPICS_KNOWN_WITHIN_S)
-    ends = checks.find_ends(house)
+    tasks.start_soon(callers.PoisonCallers(cluster, len(events)).run)
+    await faults.inject(scene, events, _KINDS)
+    calm_s = cluster.now_s
+    await anyio.sleep(_RECOVERY_S - checks.TOPICS_KNOWN_WITHIN_S)
+    ends = checks.find_ends(cluster)
     await anyio.sleep(checks.TOPICS_KNOWN_WITHIN_S)
     return [
         *configurations.violations,
         *evacuations.violations,
-        *checks.check_owners(house),
-        *checks.check_deadly(house, calm_s),
-        *checks.check_handovers(house),
-        *checks.check_topics(house, ends),
-        *checks.check_served(house),
+        *checks.check_owners(cluster),
+        *checks.check_poison_requests(cluster, calm_s),
+        *checks.check_handovers(cluster),
+        *checks.check_topics(cluster, ends),
+        *checks.check_served(cluster),
     ]
 
 
 def shrink(
     events: tuple[faults.Event, ...], fails: Callable[..., bool]
 ) -> tuple[faults.Event, ...]:
-    """Returns the fewest events that still fail, each needed."""
+    """Returns a subset of the events that still fails; all in it are needed."""
     changed = True
     while changed:
         changed = False
@@ -113,7 +114,7 @@
     events: tuple[faults.Event, ...],
     violations: tuple[checks.Violation, ...],
 ) -> None:
-    """Writes a schedule that can be replayed."""
+    """Writes a schedule to a file, from which it can be replayed."""
     document = {
         "format": FORMAT,
         "violations": [v._asdict() for v in violations],
@@ -123,15 +124,15 @@
 
 
 class ScheduleError(ValueError):
-    """A file holds no schedule that this version plays; it says where."""
+    """A file contains no valid schedule; the message says where it is wrong."""
 
 
 def load(path: pathlib.Path) -> tuple[faults.Event, ...]:
-    """Returns a kept schedule.
+    """Returns the schedule in a file.
 
     Raises:
         OSError: The file cannot be read.
-        ScheduleError: It holds something else.
+        ScheduleError: The file contains no valid schedule.
     """
     try:
         document = json.loads(path.read_text(encoding="utf-8"))
@@ -148,7 +149,7 @@
 
 
 def _find_problem(event: faults.Event) -> str:
-    """Returns what is wrong with an event; empty if it is sound."""
+    """Returns what is wrong with an event; "" if it is valid."""
     if event.kind not in _KINDS:
         return f"kind: {event.kind!r} is not known"
     if not isinstance(event.target, int) or event.target < 0:
@@ -160,81 +161,82 @@
     return ""
 
 
-class Found(NamedTuple):
-    """A seed whose house broke a promise."""
+class FailedSeed(NamedTuple):
+    """A seed whose simulation violated a guarantee."""
 
     seed: int
     violations: tuple[checks.Violation, ...]
 
 
 Draw = Callable[[int], tuple[faults.Event, ...]]
-"""Returns the events of a seed's house."""
+"""Returns the events of a seed."""
 
 
 def draw(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a seed's house, without planned work."""
+    """Returns the events of a seed, without planned evacuations."""
     return faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
-def draw_beside_planned(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a seed's house, and the operator's planned work."""
+def draw_with_planned(seed: int) -> tuple[faults.Event, ...]:
+    """Returns the events of a seed, including planned evacuations."""
     return tuple(sorted(draw(seed) + faults.draw_planned(seed, _LENGTH_S)))
 
 
-def draw_beside_deadly(seed: int) -> tuple[faults.Event, ...]:
-    """Returns all events of a seed's house, and requests that end servers."""
-    deadly = faults.draw_deadly(seed, _LENGTH_S)
-    return tuple(sorted(draw_beside_planned(seed) + deadly))
+def draw_all(seed: int) -> tuple[faults.Event, ...]:
+    """Returns the events of a seed, with evacuations and poison requests."""
+    deadly = faults.draw_poison_requests(seed, _LENGTH_S)
+    return tuple(sorted(draw_with_planned(seed) + deadly))
 
 
-def draw_moving(seed: int) -> tuple[faults.Event, ...]:
-    """Returns the events of a house whose keys move and are asked for."""
-    return moving.draw(seed, _EVENTS_COUNT, _LENGTH_S)
+def draw_key_moves(seed: int) -> tuple[faults.Event, ...]:
+    """Returns the events of a seed, with moving keys and requests for them."""
+    return move_faults.draw(seed, _EVENTS_COUNT, _LENGTH_S)
 
 
-def _draw_beside_moving(name: str) -> Draw:
-    """Returns what draws the same, and events of a kind that is drawn apart."""
+def _draw_key_moves_with(name: str) -> Draw:
+    """Returns a draw that adds events of one kind to ``draw_key_moves``."""
 
     def draw_both(seed: int) -> tuple[faults.Event, ...]:
-        apart = moving.draw_apart(seed, name, _LENGTH_S)
-        return tuple(sorted(draw_moving(seed) + apart))
+        apart = move_faults.draw_kind(seed, name, _LENGTH_S)
+        return tuple(sorted(draw_key_moves(seed) + apart))
 
     return draw_both
 
 
 DRAWS = {
-    "all": draw_beside_deadly,
-    "planned": draw_beside_planned,
-    "moving": draw_moving,
-    "lossy": _draw_beside_moving(moving.LOSSY),
-    "mistaken": _draw_beside_moving(moving.MISTAKEN),
-    "unlisted": _draw_beside_moving(moving.UNLISTED),
+    "all": draw_all,
+    "planned": draw_with_planned,
+    "moving": draw_key_moves,
+    "lossy": _draw_key_moves_with(move_faults.LOSSY),
+    "mistaken": _draw_key_moves_with(move_faults.MISTAKEN),
+    "unlisted": _draw_key_moves_with(move_faults.UNLISTED),
 }
-"""What seeds may stand for, by name."""
+"""The available draws, by name."""
 
 
-def hunt(
+def search_seeds(
     seeds: range,
     until_s: float | None = None,
-    draw_events: Draw = draw_beside_deadly,
-) -> tuple[int, list[Found]]:
-    """Plays one house for each seed.
+    draw_events: Draw = draw_all,
+) -> tuple[int, list[FailedSeed]]:
+    """Simulates one cluster per seed.
 
     Args:
-        seeds: Which.
-        until_s: When to stop, by ``time.monotonic``; at the end, if left out.
-        draw_events: What happens there.
+        seeds: The seeds.
+        until_s: When to stop, by ``time.monotonic``; after the last seed if
+            omitted.
+        draw_events: Draws the events of a seed.
 
     Returns:
-        How many were played, and those that broke a promise.
+        The number of simulated clusters, and the seeds that failed.
     """
     found = []
     played_count = 0
     for seed in seeds:
         if until_s is not None and time.monotonic() > until_s:
             break
-        violations = play(draw_events(seed)).violations
+        violations = simulate(draw_events(seed)).violations
         played_count += 1
         if violations:
-            found.append(Found(seed, violations))
+            found.append(FailedSeed(seed, violations))
     return played_count, found
