--- a/tests/emulated/troubles.py
+++ b/tests/emulated/fault_scenarios.py
@@ -9,11 +9,11 @@
 from bridgecross_emulator import instances
 
 UNDISTURBED_AFTER_S = 3.0
-"""For so long nothing may have disturbed an instance that is in touch."""
+"""How long an instance must be undisturbed for checks of delays to apply."""
 
 
 class Scene:
-    """A cluster in which something happens."""
+    """A cluster and the disturbances of its instances."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self.cluster = cluster
@@ -23,13 +23,13 @@
         self.disturbed_s: dict[instances.EmulatedInstance, float] = {}
 
     def disturb(self, *disturbed: instances.EmulatedInstance) -> None:
-        """Notes that instances are disturbed at this moment."""
+        """Records that instances are disturbed at this moment."""
         for each in disturbed:
             self.disturbed_s[each] = self.cluster.now_s
 
 
-async def nothing(scene: Scene) -> None:
-    """All is well."""
+async def inject_nothing(scene: Scene) -> None:
+    """Injects no fault."""
 
 
 async def cut_leader_off_log(scene: Scene) -> None:
@@ -37,8 +37,8 @@
     scene.disturb(scene.leader)
 
 
-async def cut_leader_off_log_beside_dead(scene: Scene) -> None:
-    """Words to one that says nothing hold up those to the others."""
+async def cut_leader_off_log_with_dead_instance(scene: Scene) -> None:
+    """Messages to an instance that is down delay those to the others."""
     dead = scene.others.pop()
     scene.cluster.isolate(dead)
     scene.cluster.pause(dead)
@@ -46,7 +46,7 @@
     await cut_leader_off_log(scene)
 
 
-async def turn_leader_away(scene: Scene) -> None:
+async def reject_leader(scene: Scene) -> None:
     scene.leader.log_client.rejected = True
     scene.disturb(scene.leader)
 
@@ -63,27 +63,27 @@
     scene.cluster.restart(scene.leader)
 
 
-async def freeze_leader(scene: Scene) -> None:
+async def pause_leader(scene: Scene) -> None:
     scene.cluster.pause(scene.leader)
     scene.disturb(scene.leader)
 
 
-async def freeze_leader_for_a_while(scene: Scene) -> None:
-    """What it had written before it stood still comes after that."""
-    await freeze_leader(scene)
+async def pause_leader_for_a_while(scene: Scene) -> None:
+    """What the leader sent before the pause arrives after it."""
+    await pause_leader(scene)
     await anyio.sleep(1.0)
     scene.cluster.resume(scene.leader)
     scene.disturb(scene.leader)
 
 
 async def isolate_leader(scene: Scene) -> None:
-    """It reaches the log, but none of the others."""
+    """The leader reaches the log, but none of the other instances."""
     scene.cluster.isolate(scene.leader)
     scene.disturb(scene.leader)
 
 
-async def hold_words_up(scene: Scene) -> None:
-    """The leader's words arrive, all of them late."""
+async def delay_messages(scene: Scene) -> None:
+    """The leader's messages all arrive late."""
     leader = scene.leader.settings.peer_address
     for _ in range(8):
         for other in scene.others:
@@ -94,20 +94,23 @@
 
 
 async def silence_connections(scene: Scene) -> None:
-    """All open connections go silent for good."""
+    """All open connections become permanently silent."""
     scene.cluster.silence()
     scene.disturb(*scene.cluster.instances)
 
 
 async def silence_connections_and_kill_leader(scene: Scene) -> None:
-    """Who has not called the log since learns of it only by calling it."""
+    """Instances notice the silent connections only when they call the log."""
     await silence_connections(scene)
     await anyio.sleep(UNDISTURBED_AFTER_S)
     await kill_leader(scene)
 
 
 async def leave_circuits_open_and_kill_leader(scene: Scene) -> None:
-    """The log was away until just now, for all but the leader."""
+    """The log was unreachable for all until shortly before the kill.
+
+    The circuit breakers of the other instances are still open.
+    """
     for other in scene.others:
         other.log_client.cut()
     scene.leader.log_client.cut()
@@ -119,9 +122,9 @@
     await kill_leader(scene)
 
 
-async def freeze_leader_and_then_the_next(scene: Scene) -> None:
-    """The next one stands still once it has claimed."""
-    await freeze_leader(scene)
+async def pause_leader_and_then_the_next(scene: Scene) -> None:
+    """The next leader is paused as soon as it has claimed."""
+    await pause_leader(scene)
     while scene.cluster.leader is scene.leader:
         await anyio.sleep(0.01)
     following = scene.cluster.leader
@@ -129,9 +132,9 @@
     scene.disturb(following)
 
 
-async def follow_one_that_claimed_and_stood_still(scene: Scene) -> None:
-    """Its first word comes 1 s after it was written."""
-    await freeze_leader(scene)
+async def delay_first_message_of_next_leader(scene: Scene) -> None:
+    """The first message of the next leader arrives 1 s after it was sent."""
+    await pause_leader(scene)
     while scene.cluster.leader is scene.leader:
         await anyio.sleep(0.0005)
     following = scene.cluster.leader
@@ -149,19 +152,19 @@
 
 ALL = {
     "leader cut off the log": cut_leader_off_log,
-    "all is well": nothing,
-    "and an instance is dead": cut_leader_off_log_beside_dead,
-    "leader turned away": turn_leader_away,
+    "all is well": inject_nothing,
+    "and an instance is dead": cut_leader_off_log_with_dead_instance,
+    "leader turned away": reject_leader,
     "leader gone": kill_leader,
     "leader restarts": restart_leader,
-    "leader frozen": freeze_leader,
-    "leader frozen and back": freeze_leader_for_a_while,
+    "leader frozen": pause_leader,
+    "leader frozen and back": pause_leader_for_a_while,
     "leader cut off the others": isolate_leader,
-    "words held up": hold_words_up,
+    "words held up": delay_messages,
     "connections silent": silence_connections,
     "connections silent, then leader gone": silence_connections_and_kill_leader,
     "log back, then leader gone": leave_circuits_open_and_kill_leader,
-    "two leaders frozen": freeze_leader_and_then_the_next,
-    "first word late": follow_one_that_claimed_and_stood_still,
+    "two leaders frozen": pause_leader_and_then_the_next,
+    "first word late": delay_first_message_of_next_leader,
 }
-"""What may happen to instances, by name."""
+"""The scenarios, by name."""
--- a/tests/emulated/mutants.py
+++ b/tests/emulated/mutants.py
@@ -1,4 +1,4 @@
-"""Known faults, put back into the program, which the search has to find."""
+"""Mutants: known faults, reintroduced by patches; the search must find them."""
 
 from collections.abc import Callable
 import contextlib
@@ -25,7 +25,7 @@
 
 
 def _trust_whoever_speaks():
-    """What is known is read only when nobody speaks, however old it is."""
+    """The log is read only if nobody relays it, however old the state is."""
     settings = cluster_state.ClusterStateSettings(
         own_read_age_s=math.inf, configuration_wait_ms=900.0
     )
@@ -35,7 +35,7 @@
 
 
 def _stop_at_foreign_entries():
-    """An entry that cannot be read ends the task that follows the list."""
+    """An unreadable entry ends the task that follows the server list."""
 
     def decode(self, record):
         return self._decode_entry(record) if record.value else None
@@ -45,7 +45,7 @@
 
 @contextlib.contextmanager
 def _take_a_start_for_proof():
-    """A server that has started again is taken to hold nothing."""
+    """A server that has restarted is assumed to hold nothing."""
     holds_no_more = leases.LeaseManager._cannot_hold
 
     def trust(self, prior, holder, key_range):
@@ -63,14 +63,14 @@
 
 
 def _wait_for_no_lease():
-    """A server that says nothing holds nothing."""
+    """A server that does not answer is assumed to hold nothing."""
     return mock.patch.object(
         leases.LeaseManager, "_leases_expired", return_value=True
     )
 
 
 def _forget_evacuations():
-    """A leader tells others of configurations only."""
+    """A leader relays configurations only, without evacuations."""
 
     def since(self, offset):
         batch = _SINCE(self, offset)
@@ -83,7 +83,7 @@
 
 
 def _know_by_who_asks():
-    """The same request from elsewhere is another one."""
+    """The same request from another caller counts as a different request."""
 
     def name(request):
         host = f"{request.caller} {request.host}"
@@ -95,7 +95,7 @@
 
 
 def _wait_for_no_work():
-    """The answer to a release is not waited for."""
+    """A release counts as done without waiting for its answer."""
     return mock.patch.object(leases.LeaseManager, "reclaim", _release_hastily)
 
 
@@ -116,7 +116,7 @@
 
 
 def _forget_who_asked_before():
-    """A release that may follow another one is proof when it is answered."""
+    """An answer proves a release even if an earlier release may exist."""
     reclaim = leases.LeaseManager.reclaim
 
     async def trust(self, prior, key_range, *, may_have_been_asked=False):
@@ -126,27 +126,27 @@
 
 
 def _take_runs_for_ended():
-    """Every run of a server that is to give something back has ended."""
+    """Every run of a server counts as ended."""
     return mock.patch.object(
         servers.ServerRegistry, "has_ended", return_value=True
     )
 
 
 def _wait_for_no_earlier_leader():
-    """What an earlier leader may still order is not waited for."""
+    """A leader does not wait for possible orders of an earlier leader."""
     return mock.patch.object(
         leases.LeaseManager, "_previous_orders_end_s", return_value=0.0
     )
 
 
 def _order_unconfirmed():
-    """Whoever takes itself for the leader gives orders."""
+    """An instance sends orders as soon as it believes that it leads."""
     leads = property(lambda self: self.is_leader)
     return mock.patch.object(leadership.Leadership, "may_order", leads)
 
 
 class _Forgetful(set[int]):
-    """A set that keeps nothing."""
+    """A set that ignores additions."""
 
     def add(self, element):
         pass
@@ -154,7 +154,7 @@
 
 @contextlib.contextmanager
 def _move_what_moves():
-    """A range is moved on while it is taken back from its first holder."""
+    """A range is moved again while it is reclaimed from its first holder."""
     run = coordinator.Coordinator.run
 
     async def run_forgetful(self):
@@ -172,14 +172,14 @@
 
 
 class Mutant(NamedTuple):
-    """A fault, and where it shows."""
+    """A fault, and the simulation that reveals it."""
 
     put_back: Callable[[], contextlib.AbstractContextManager[object]]
-    # The promise that it breaks.
+    # The guarantee that it violates.
     promise: str
-    # The first seed whose cluster shows it, counted from 1.
+    # The first seed, starting at 1, whose simulation violates it.
     seed: int
-    # What happens there.
+    # Draws the events of the simulation.
     draw: Callable[[int], tuple[faults.Event, ...]] = search.draw
 
 
--- a/tests/emulated/test_evacuation.py
+++ b/tests/emulated/test_evacuation.py
@@ -15,7 +15,7 @@
 
 from bridgecross_emulator import instances
 from tests.emulated import crash_scene
-from tests.emulated import troubles
+from tests.emulated import fault_scenarios
 
 IN_FORCE_WITHIN_S = 5.0
 DOMAIN = "zone-1"
@@ -40,7 +40,7 @@
         touched_s = disturbed_s.get(run.sender, float("-inf"))
         due_s = max(
             taken_s + IN_FORCE_WITHIN_S,
-            touched_s + troubles.UNDISTURBED_AFTER_S,
+            touched_s + fault_scenarios.UNDISTURBED_AFTER_S,
         )
         if due_s < run.at_s < until_s:
             late.append(run)
@@ -61,12 +61,14 @@
 
 
 @pytest.mark.parametrize("run_s", RUN_S)
-@pytest.mark.parametrize("happen", troubles.ALL.values(), ids=troubles.ALL)
+@pytest.mark.parametrize(
+    "happen", fault_scenarios.ALL.values(), ids=fault_scenarios.ALL
+)
 def test_an_evacuated_domain_gets_nothing_after_the_bound(happen, run_s):
     found = []
 
     async def act(scene):
-        trouble = troubles.Scene(scene.cluster)
+        trouble = fault_scenarios.Scene(scene.cluster)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(happen, trouble)
             await anyio.sleep(0.05)
--- a/tests/emulated/test_in_force.py
+++ b/tests/emulated/test_in_force.py
@@ -31,7 +31,7 @@
 
 from bridgecross_emulator import cluster as clusters
 from bridgecross_emulator import virtual
-from tests.emulated import troubles
+from tests.emulated import fault_scenarios
 
 IN_FORCE_WITHIN_S = 2.0
 # How long after the trouble begins a change is made; most harm is done at once.
@@ -53,7 +53,7 @@
 async def _change_at(cluster, happen, run_s, moment_s) -> list[Late]:
     """Returns the instances that were late with a change at a moment."""
     await cluster.start(run_s)
-    scene = troubles.Scene(cluster)
+    scene = fault_scenarios.Scene(cluster)
     begun_s = cluster.now_s
     late = []
     async with anyio.create_task_group() as tasks:
@@ -67,7 +67,10 @@
         while cluster.now_s < end_s and waiting:
             for each in list(waiting):
                 touched_s = scene.disturbed_s.get(each, float("-inf"))
-                if cluster.now_s < touched_s + troubles.UNDISTURBED_AFTER_S:
+                if (
+                    cluster.now_s
+                    < touched_s + fault_scenarios.UNDISTURBED_AFTER_S
+                ):
                     continue
                 waiting.discard(each)
                 stands = each.host.is_paused or each.log_client.is_cut
@@ -84,7 +87,7 @@
 
 
 def _find_late(
-    happen: troubles.Happen, run_s: float, moment_s: float
+    happen: fault_scenarios.Happen, run_s: float, moment_s: float
 ) -> list[Late]:
     environment = simpy.Environment()
 
@@ -100,7 +103,9 @@
     return virtual.run(environment, main)
 
 
-@pytest.mark.parametrize("happen", troubles.ALL.values(), ids=troubles.ALL)
+@pytest.mark.parametrize(
+    "happen", fault_scenarios.ALL.values(), ids=fault_scenarios.ALL
+)
 def test_a_change_is_in_force_in_time(happen):
     late = []
     for run_s, moment_s in itertools.product(RUN_S, MOMENTS_S):
