--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -61,7 +61,7 @@
 def _settings_without_base(monkeypatch: pytest.MonkeyPatch) -> None:
     def apply(self: versions.SettingsState, record: Any) -> Any:
         change = versions._CHANGES.decode(record.envelope.body)
-        return self._adopt(
+        return self._activate(
             versions.SettingsVersion(
                 record.offset, change.author, change.summary, change.document
             )
