--- a/tests/emulated/test_handovers.py
+++ b/tests/emulated/test_handovers.py
@@ -1,21 +1,22 @@
-"""Keys are not given on before their last holder has given them back.
+"""Keys are not granted to another server before the last holder released them.
 
-Each is what was left of a random cluster that broke the promise.
+Each schedule is the shrunk form of a random one that violated this guarantee.
 """
 
 from bridgecross_emulator import faults
 from bridgecross_emulator import search
 
-# A mute leader writes a move and waits for peers to hear of it. The next one
-# resumes the move, and its release waits for work; then the first one's release
-# finds nothing held, and is taken for proof.
+# A leader that cannot send to its peers writes a move, and waits until they
+# know of it. The next leader resumes the move, and its release waits for work
+# that is running. Then the release of the first leader finds nothing held, and
+# its answer is mistaken for proof.
 _MUTE_LEADER = (
     faults.Event(1.938, "hot range", 5, 4.218),
     faults.Event(2.962, "isolated", 0, 2.116),
     faults.Event(4.445, "hot range", 2, 5.806),
     faults.Event(6.796, "mute", 0, 5.7),
 )
-# The same, where the move comes into force by an append that was done late.
+# The same, with a move that comes into force by an append carried out late.
 _LATE_APPEND = (
     faults.Event(0.0, "traffic", 0, 16.0),
     faults.Event(0.839, "evacuation", 0, 1.045),
@@ -34,9 +35,9 @@
     assert violations == set()
 
 
-# A renewal is overtaken by the release of its range, and its server counts as
-# outranked. A plan that moves other ranges to that server then forgets who held
-# them.
+# A release overtakes a renewal of the same range, so that the server counts as
+# outranked. A plan that moves other ranges to this server then forgets their
+# holders.
 _ORDERS_OVERTAKE = (
     faults.Event(0.0, "traffic", 0, 14.0),
     faults.Event(0.056, "hot range", 3, 5.375),
