--- a/tests/emulated/test_first_start.py
+++ b/tests/emulated/test_first_start.py
@@ -1,9 +1,10 @@
-"""The whole system starts for the first time: what it asks of the log.
+"""The load on the log when the whole system starts for the first time.
 
-The pattern: all instances start within a second, nobody leads, and each has to
-learn of servers, configuration, key maps and the other instances. Calls to the
-log are priced, and its rate is bounded for all together; callers come ten
-seconds later. Twenty instances stand for hundreds: each of them does the same.
+All instances start within a second, no instance leads, and each has to read the
+servers, the configuration, the key maps and the other instances. Calls to the
+log cost money, and their rate is limited for all instances together; callers
+arrive ten seconds later. Twenty instances represent hundreds, because each of
+them behaves the same.
 """
 
 import anyio
@@ -17,8 +18,8 @@
 _READY_WITHIN_S = 4.0
 
 
-def _play(*, is_first_start: bool, trouble=None) -> tuple[float, float]:
-    """Returns calls to the log an instance, and when all were ready, in s."""
+def _simulate(*, is_first_start: bool, trouble=None) -> tuple[float, float]:
+    """Returns the log calls per instance, and when all were ready, in s."""
     environment = simpy.Environment()
 
     async def main() -> tuple[float, float]:
@@ -63,8 +64,8 @@
 
 
 def test_most_first_reads_are_left_to_the_leader():
-    calls, ready_s = _play(is_first_start=True)
-    calls_alone, _ = _play(is_first_start=False)
+    calls, ready_s = _simulate(is_first_start=True)
+    calls_alone, _ = _simulate(is_first_start=False)
     assert calls < calls_alone - 2.5
     assert ready_s < _READY_WITHIN_S
 
@@ -77,5 +78,5 @@
     ],
 )
 def test_all_are_ready_long_before_callers_come(trouble):
-    _, ready_s = _play(is_first_start=True, trouble=trouble)
+    _, ready_s = _simulate(is_first_start=True, trouble=trouble)
     assert ready_s < 7.0
