--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -30,7 +30,7 @@
 from bridgecross_ownership import membership
 from bridgecross_standins import balancer
 from bridgecross_standins import checker
-from bridgecross_standins import house_tools
+from bridgecross_standins import cluster_tools
 from bridgecross_standins import log_standin
 from bridgecross_standins import probing
 from bridgecross_standins import processes
@@ -71,7 +71,7 @@
     """A running house under load."""
 
     def __init__(
-        self, house: processes.House, seed: int, outage_s: float
+        self, house: processes.Cluster, seed: int, outage_s: float
     ) -> None:
         """Initializes the run.
 
@@ -97,7 +97,7 @@
 
     async def pick_entry(self, *, coordinator: bool) -> processes.Entry:
         """Returns the coordinator, or a random instance other than it."""
-        cell = await house_tools.read_cell(self.house, _SERVICE)
+        cell = await cluster_tools.read_cell(self.house, _SERVICE)
         names = [
             name
             for name in self.house.entries
@@ -243,7 +243,7 @@
 async def _run_scenario(name: str, run: Run, seed: int) -> Result:
     """Runs one scenario on a house that has just been started."""
     house = run.house
-    await house_tools.bring_up(house)
+    await cluster_tools.start_cluster(house)
     chooser = balancer.Balancer(
         {e.caller_url: e.admin_url for e in house.entries.values()}
     )
@@ -258,14 +258,14 @@
             run.load_tasks = load
             load.start_soon(prober.run)
             await anyio.sleep(_SETTLE_S)
-            before = await house_tools.read_cell(house, _SERVICE)
+            before = await cluster_tools.read_cell(house, _SERVICE)
             started_s = time.monotonic()
             await SCENARIOS[name](run)
             ended_s = time.monotonic()
             for each in (prober, *run.extra_probers):
                 each.stop()
         tasks.cancel_scope.cancel()
-    after = await house_tools.read_cell(house, _SERVICE)
+    after = await cluster_tools.read_cell(house, _SERVICE)
     return _evaluate(
         name,
         seed,
@@ -281,7 +281,7 @@
 def _evaluate(
     name: str,
     seed: int,
-    house: processes.House,
+    house: processes.Cluster,
     probers: list[probing.Prober],
     before: cells.Cell,
     after: cells.Cell,
@@ -308,7 +308,7 @@
     balance_from_s = ended_s - 4.0
     served = collections.Counter(
         entry.server
-        for entry in checker.list_ran(journal)
+        for entry in checker.list_executed(journal)
         if entry.service == _SERVICE and entry.ended_s > balance_from_s
     )
     live = {state.server for state in after.slices}
@@ -385,7 +385,7 @@
 
 def _run_once(name: str, seed: int, options: argparse.Namespace) -> Result:
     """Starts a house and runs one scenario on it."""
-    shape = processes.HouseShape(
+    shape = processes.ClusterShape(
         settings_file=pathlib.Path("settings/karatas.jsonc"),
         place="anadolu",
         services=(
@@ -395,7 +395,7 @@
         instances=options.instances,
         folder=pathlib.Path("out/faults"),
     )
-    with processes.House(shape) as house:
+    with processes.Cluster(shape) as house:
         run = Run(house, seed, options.outage_s)
         return anyio.run(_run_scenario, name, run, seed)
 
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -20,7 +20,7 @@
 from bridgecross_core import hybrid_clock
 from bridgecross_daemon import peer_client
 from bridgecross_daemon import peer_protocol
-from bridgecross_standins import house_tools
+from bridgecross_standins import cluster_tools
 from bridgecross_standins import processes
 
 _CALLS = 600
@@ -28,7 +28,7 @@
 _CONCURRENCY = (1, 8, 32)
 _STARTUP_S = 1.5
 _FOLDER = pathlib.Path("out/bench")
-_SHAPE = processes.HouseShape(
+_SHAPE = processes.ClusterShape(
     settings_file=pathlib.Path("settings/karatas.jsonc"),
     place="anadolu",
     services=tuple(
@@ -45,7 +45,7 @@
     """Measures the layers separately, then a whole house."""
     found = anyio.run(_measure_clients)
     found += anyio.run(_measure_servers)
-    with processes.House(_SHAPE) as house:
+    with processes.Cluster(_SHAPE) as house:
         found += anyio.run(_measure_house, house)
     return found
 
@@ -171,9 +171,9 @@
     return found
 
 
-async def _measure_house(house: processes.House) -> list[rows.Row]:
+async def _measure_house(house: processes.Cluster) -> list[rows.Row]:
     """Measures both instances of a house, idle and under requests."""
-    await house_tools.bring_up(house)
+    await cluster_tools.start_cluster(house)
     await anyio.sleep(3.0)
     instances = {
         name: psutil.Process(entry.process.pid)
@@ -187,7 +187,7 @@
 
 
 async def _measure_idle(
-    house: processes.House, instances: dict[str, psutil.Process]
+    house: processes.Cluster, instances: dict[str, psutil.Process]
 ) -> list[rows.Row]:
     """Measures processor time and memory of instances without requests."""
     before = {name: _cpu_s(process) for name, process in instances.items()}
--- a/libs/bridgecross-standins/src/bridgecross_standins/__init__.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/__init__.py
@@ -1,26 +1,26 @@
-"""Small stand-ins for the platform and the backend servers.
+"""Small stand-ins for the platform's services and the backend servers.
 
-For tests and the demo only: no shipped library imports this one.
+For tests and the demo only: no released library imports this package.
 
 * ``log_standin``: the platform's log service.
 * ``list_standin``: the platform's instance list.
-* ``backend_standin``: a backend server with a journal of what it ran.
-* ``balancer``: the platform's balancer.
+* ``backend_standin``: a backend server that journals every request.
+* ``balancer``: the platform's load balancer.
 * ``probing``: sends requests at a steady rate.
-* ``checker``: checks the journals against what must always hold.
-* ``serving``: runs any of them over HTTP.
-* ``processes``: starts a whole house as separate processes.
-* ``house_tools``: what demo, tests and measurements do with one.
-* ``demo``: the demo.
-* ``main``: the command line of a single stand-in.
+* ``checker``: checks the journals for violated guarantees.
+* ``serving``: serves any of the stand-ins over HTTP.
+* ``processes``: starts a cluster as separate processes.
+* ``cluster_tools``: helpers of the demo, tests and benchmarks for a cluster.
+* ``demo``: the demo, which kills a backend server under load.
+* ``main``: the command line that runs a single stand-in.
 """
 
 __all__ = [
     "backend_standin",
     "balancer",
     "checker",
+    "cluster_tools",
     "demo",
-    "house_tools",
     "list_standin",
     "log_standin",
     "main",
--- a/libs/bridgecross-standins/src/bridgecross_standins/backend_standin.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/backend_standin.py
@@ -1,9 +1,10 @@
-"""A stand-in for a backend server, with a journal of what it ran.
+"""A stand-in for a backend server that journals every request.
 
 ``PUT /bridgecross/lease`` takes leases (see ``bridgecross_ownership.leases``);
-every other path under ``/v1`` runs a request. ``PUT /faults`` takes a JSON
-``BackendFaults``. Freezing is left to SIGSTOP. The journal goes to a file, so
-that it outlives the server; it is the ground truth of every proof.
+every path under ``/v1`` runs a request. ``PUT /faults`` takes a JSON
+``BackendFaults``; to freeze the server, send SIGSTOP to its process. The
+journal is written to a file so that it survives the server: tests check the
+guarantees against it.
 """
 
 import dataclasses
@@ -26,49 +27,50 @@
 from bridgecross_request import backends
 
 _METHODS = ["GET", "HEAD", "POST", "PUT", "DELETE"]
-_WAIT_POLL_S = 0.01
+_DISCONNECT_POLL_S = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
 class BackendFaults:
-    """What goes wrong at the moment."""
+    """The faults of the server that are in force."""
 
-    # Whether the server is draining, and says so in lease replies.
+    # Whether the server reports in lease replies that it is draining.
     draining: bool = False
-    # How much longer each request takes.
+    # The additional time that each request takes.
     delay_ms: int = 0
-    # Whether every request is refused to shed load.
+    # Whether every request is refused in order to shed load.
     shed_all: bool = False
-    # What the load report is multiplied by, to mislead.
+    # The factor by which the load report is falsified.
     report_factor: float = 1.0
-    # Whether answers are cut off in the middle of the body.
+    # Whether the connection ends in the middle of the answer's body.
     cut_answers: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class BackendStandinSettings:
-    """What the server can do."""
+    """The name, capacity and speed of the server."""
 
     # The server's name in the instance list.
     server: str
-    # Requests that it runs at the same time.
+    # The number of requests that run concurrently.
     slots: int = 4
-    # Requests that may wait for a slot; more are shed.
+    # The number of requests that may wait for a slot; more are shed.
     backlog: int = 16
-    # How long a request takes.
+    # The time that a request takes.
     service_ms: float = 2.0
-    # Whether it refuses a wrong token or a lease that is over.
+    # Whether requests are refused that have a wrong token or arrive without a
+    # valid lease.
     checks_fences: bool = True
-    # How long after its start the server is cold.
+    # The time after the start during which requests take longer.
     cold_ms: int = 0
-    # How many times longer a request takes while the server is cold.
+    # The factor by which they take longer during that time.
     cold_factor: float = 4.0
-    # The file that the journal is written to, a line each; empty for none.
+    # The file of the journal, with one entry per line; empty for no journal.
     journal_path: str = ""
 
 
-class Deed(enum.Enum):
-    """What the server did with a request."""
+class RequestResult(enum.Enum):
+    """The result of a request at the server."""
 
     RAN = "ran"
     FENCED = "fenced"
@@ -78,14 +80,14 @@
 
 
 class JournalEntry(NamedTuple):
-    """One request, as the server saw it.
+    """One request at a server.
 
     ``began_s`` and ``ended_s`` are monotonic times of the machine, so that
-    the journals of all servers on it compare.
+    entries of all servers on it can be compared.
     """
 
     number: int
-    deed: Deed
+    result: RequestResult
     began_s: float
     ended_s: float
     server: str
@@ -99,7 +101,7 @@
     idempotency_key: str
 
 
-class _Ticket(NamedTuple):
+class _RequestInfo(NamedTuple):
     """The part of a request that the server checks and journals."""
 
     service: str
@@ -114,29 +116,29 @@
 
 
 @dataclasses.dataclass(eq=False)
-class _Running:
-    """A request that is being run."""
+class _RunningRequest:
+    """A request that waits for a slot or runs."""
 
-    # What it asks for.
-    ticket: _Ticket
-    # The lease under which it began.
+    # The key, tokens and deadline of the request.
+    info: _RequestInfo
+    # The value of ``BackendStandin._lease_number`` at its arrival.
     lease_number: int
-    # When it came, monotonic.
+    # The monotonic time of its arrival.
     began_s: float
-    # What became of it.
-    deed: Deed = Deed.CANCELLED
-    # The value of its key after the effect.
+    # Its result; cancelled until it ends otherwise.
+    result: RequestResult = RequestResult.CANCELLED
+    # The value of the key after its effect.
     value: int = 0
 
 
 class BackendStandin:
-    """A backend server in memory."""
+    """A backend server that keeps its values in memory."""
 
     def __init__(self, settings: BackendStandinSettings) -> None:
-        """Starts cold, with no lease and an empty journal."""
+        """Initializes a server without a lease and opens its journal."""
         self.faults = BackendFaults()
         self._journal = _open_journal(settings.journal_path)
-        self._entries = 0
+        self._entry_count = 0
         self._settings = settings
         self._incarnation = secrets.token_hex(8)
         self._started_s = time.monotonic()
@@ -144,15 +146,15 @@
         self._sequence = 0
         self._grants: dict[int, int] = {}
         self._lease_until_ms = 0.0
-        # Counts the leases that began after another had lapsed.
+        # The number of times that a lease began while none was valid.
         self._lease_number = 0
-        self._running: list[_Running] = []
+        self._running: list[_RunningRequest] = []
         self._slots = anyio.CapacityLimiter(settings.slots)
         self._waiting = 0
         self._values: dict[str, int] = {}
 
     def build_app(self) -> applications.Starlette:
-        """Returns the HTTP application."""
+        """Returns the ASGI application."""
         return applications.Starlette(
             routes=[
                 routing.Route(
@@ -174,198 +176,210 @@
     async def _show_report(
         self, request: requests.Request
     ) -> responses.Response:
-        """Shows the load, which the fault may falsify."""
+        """Returns the load report, which a fault may falsify."""
         load = len(self._running) * self.faults.report_factor
-        return _json({"load": load})
+        return _make_json_answer({"load": load})
 
     async def _take_lease(
         self, request: requests.Request
     ) -> responses.Response:
-        """Takes a lease exchange."""
-        asked = codec.from_json(await request.body(), leases.LeaseRequest)
-        reason = self._find_refusal(asked)
+        """Handles a lease exchange."""
+        lease_request = codec.from_json(
+            await request.body(), leases.LeaseRequest
+        )
+        reason = self._find_refusal(lease_request)
         if not reason:
-            self._adopt(asked)
-        return _json(
+            self._apply_grants(lease_request)
+        return _make_json_answer(
             leases.LeaseReply(
                 accepted=not reason,
                 reason=reason,
                 clock=leases.ClockEcho(self._incarnation, _now_ms()),
-                held=self._list_held(),
+                held=self._list_held_grants(),
                 draining=self.faults.draining,
             )
         )
 
-    def _find_refusal(self, asked: leases.LeaseRequest) -> str:
-        """Returns why a lease exchange is refused; empty if it is not."""
-        if asked.front_token < self._front_token:
-            return f"front {self._front_token} is newer"
-        if asked.front_token > self._front_token:
+    def _find_refusal(self, request: leases.LeaseRequest) -> str:
+        """Returns why a lease request is refused; empty if it is accepted."""
+        if request.front_token < self._front_token:
+            return f"front token {self._front_token} is newer"
+        if request.front_token > self._front_token:
             return ""
-        if asked.sequence <= self._sequence:
-            return f"exchange {self._sequence} is newer"
+        if request.sequence <= self._sequence:
+            return f"sequence number {self._sequence} has been received"
         return ""
 
-    def _adopt(self, asked: leases.LeaseRequest) -> None:
-        """Takes the grants over, and the lease if the echo is its own."""
-        self._front_token = asked.front_token
-        self._sequence = asked.sequence
-        self._grants = {grant.slice: grant.token for grant in asked.grants}
+    def _apply_grants(self, request: leases.LeaseRequest) -> None:
+        """Replaces the grants; an echo of this run also extends the lease."""
+        self._front_token = request.front_token
+        self._sequence = request.sequence
+        self._grants = {grant.slice: grant.token for grant in request.grants}
         if not self._has_lease():
             self._lease_number += 1
-        if asked.echo and asked.echo.incarnation == self._incarnation:
-            until_ms = asked.echo.reading_ms + asked.lease_ms
+        if request.echo and request.echo.incarnation == self._incarnation:
+            until_ms = request.echo.reading_ms + request.lease_ms
             self._lease_until_ms = max(self._lease_until_ms, until_ms)
 
-    def _list_held(self) -> list[leases.SliceGrant]:
-        """Returns the grants, and those whose requests still run."""
+    def _list_held_grants(self) -> list[leases.SliceGrant]:
+        """Returns the grants, and revoked ones whose requests still run."""
         held = set(self._grants.items())
-        held |= {(r.ticket.slice, r.ticket.token) for r in self._running}
+        held |= {(r.info.slice, r.info.token) for r in self._running}
         return [
             leases.SliceGrant(ids.SliceIndex(index), ids.Token(token))
             for index, token in sorted(held)
         ]
 
     async def _run(self, request: requests.Request) -> responses.Response:
-        """Runs a request if its fence holds, a slot is free and in time."""
-        ticket = _read_ticket(request)
+        """Runs a request, or refuses it if it is fenced, shed or late."""
+        info = _read_request_info(request)
         began_s = time.monotonic()
-        if self._is_fenced(ticket):
-            return self._refuse(ticket, Deed.FENCED, began_s)
-        full = self._waiting >= self._settings.backlog
-        if self.faults.shed_all or full:
-            return self._refuse(ticket, Deed.SHED, began_s)
-        running = _Running(ticket, self._lease_number, began_s)
+        if self._is_fenced(info):
+            return self._refuse(info, RequestResult.FENCED, began_s)
+        is_full = self._waiting >= self._settings.backlog
+        if self.faults.shed_all or is_full:
+            return self._refuse(info, RequestResult.SHED, began_s)
+        running = _RunningRequest(info, self._lease_number, began_s)
         self._running.append(running)
         try:
-            await self._do(request, running)
+            await self._execute(request, running)
         finally:
             self._running.remove(running)
-        if running.deed is not Deed.RAN:
-            return self._refuse(ticket, running.deed, began_s)
-        return self._answer(ticket, running.value)
+        if running.result is not RequestResult.RAN:
+            return self._refuse(info, running.result, began_s)
+        return self._answer(info, running.value)
 
-    async def _do(self, request: requests.Request, running: _Running) -> None:
-        """Spends the service time, unless the caller goes away."""
+    async def _execute(
+        self, request: requests.Request, running: _RunningRequest
+    ) -> None:
+        """Runs the request, and cancels it if the caller disconnects."""
         async with anyio.create_task_group() as tasks:
 
-            async def watch() -> None:
+            async def watch_disconnect() -> None:
                 while not await request.is_disconnected():
-                    await anyio.sleep(_WAIT_POLL_S)
+                    await anyio.sleep(_DISCONNECT_POLL_S)
                 tasks.cancel_scope.cancel()
 
-            tasks.start_soon(watch)
-            await self._spend_slot(running)
+            tasks.start_soon(watch_disconnect)
+            await self._execute_in_slot(running)
             tasks.cancel_scope.cancel()
 
-    async def _spend_slot(self, running: _Running) -> None:
-        """Waits for a slot, spends the service time in it, and takes effect."""
+    async def _execute_in_slot(self, running: _RunningRequest) -> None:
+        """Waits for a slot, spends the service time and applies the effect."""
         self._waiting += 1
         try:
             await self._slots.acquire_on_behalf_of(running)
         finally:
             self._waiting -= 1
         try:
-            await anyio.sleep(self._find_service_s())
-            self._take_effect(running)
+            await anyio.sleep(self._get_service_s())
+            self._apply_effect(running)
         finally:
             self._slots.release_on_behalf_of(running)
 
-    def _take_effect(self, running: _Running) -> None:
-        """Changes the value, and changes it back if that came too late.
+    def _apply_effect(self, running: _RunningRequest) -> None:
+        """Changes the value, and restores it if the change came too late.
 
-        The process may be stopped between any two steps. A look before the
-        effect would therefore prove nothing; the look after it proves that the
-        effect came in time, and is the moment that the journal names. Nothing
-        is awaited, so nobody sees a value that is changed back.
+        The process may be stopped between any two steps, so a check of the
+        time before the change wouldn't prove that the change came in time.
+        The time that is read after the change proves it, and is the end that
+        the journal states. Nothing is awaited here, so no other request sees
+        a value that is restored.
         """
-        ticket = running.ticket
-        before = self._values.get(ticket.key, 0)
-        is_write = ticket.method not in {"GET", "HEAD"}
-        running.value = before + is_write
-        self._values[ticket.key] = running.value
+        info = running.info
+        previous = self._values.get(info.key, 0)
+        is_write = info.method not in {"GET", "HEAD"}
+        running.value = previous + is_write
+        self._values[info.key] = running.value
         ended_s = time.monotonic()
-        running.deed = self._judge(running, ended_s)
-        if running.deed is Deed.RAN:
-            self._write(ticket, Deed.RAN, running.began_s, ended_s)
+        running.result = self._determine_result(running, ended_s)
+        if running.result is RequestResult.RAN:
+            self._write_entry(info, RequestResult.RAN, running.began_s, ended_s)
         else:
-            self._values[ticket.key] = before
+            self._values[info.key] = previous
 
-    def _judge(self, running: _Running, ended_s: float) -> Deed:
-        """Decides what an effect at a moment counts as.
+    def _determine_result(
+        self, running: _RunningRequest, ended_s: float
+    ) -> RequestResult:
+        """Returns the result of a request whose effect came at a time.
 
-        A request may end under a grant that was taken away, as the reply to
-        the taking has named it as held, but not once the lease that it began
-        under has lapsed, even if another lease has been given since.
+        A request may end under a revoked grant, because the reply to the
+        revocation listed that grant as still held. It may not end after the
+        lease under which it began has expired, even if another lease has
+        begun since.
         """
-        if time.time() * 1_000 > running.ticket.deadline_ms:
-            return Deed.LATE
+        if time.time() * 1_000 > running.info.deadline_ms:
+            return RequestResult.LATE
         has_lease = ended_s * 1_000 < self._lease_until_ms
         if self._settings.checks_fences and (
             not has_lease or running.lease_number != self._lease_number
         ):
-            return Deed.FENCED
-        return Deed.RAN
+            return RequestResult.FENCED
+        return RequestResult.RAN
 
     def _has_lease(self) -> bool:
-        """Returns whether the lease still runs."""
+        """Returns whether the server has a valid lease."""
         return _now_ms() < self._lease_until_ms
 
-    def _is_fenced(self, ticket: _Ticket) -> bool:
-        """Returns whether the fence forbids a request that has come."""
+    def _is_fenced(self, info: _RequestInfo) -> bool:
+        """Returns whether a request must be refused for its tokens or lease."""
         if not self._settings.checks_fences:
             return False
         return (
             not self._has_lease()
-            or self._grants.get(ticket.slice) != ticket.token
-            or ticket.front_token != self._front_token
+            or self._grants.get(info.slice) != info.token
+            or info.front_token != self._front_token
         )
 
     def _refuse(
-        self, ticket: _Ticket, deed: Deed, began_s: float
+        self, info: _RequestInfo, result: RequestResult, began_s: float
     ) -> responses.Response:
         """Journals and answers a request that was not run."""
-        self._write(ticket, deed, began_s, time.monotonic())
+        self._write_entry(info, result, began_s, time.monotonic())
         refusal = {
-            Deed.FENCED: backends.REFUSED_BY_FENCE,
-            Deed.SHED: backends.REFUSED_TO_SHED,
-        }.get(deed, backends.REFUSED_AS_LATE)
+            RequestResult.FENCED: backends.REFUSED_BY_FENCE,
+            RequestResult.SHED: backends.REFUSED_TO_SHED,
+        }.get(result, backends.REFUSED_AS_LATE)
         name = backends.REFUSED_HEADER.decode()
         return responses.Response(
             status_code=503, headers={name: refusal.decode()}
         )
 
-    def _write(
-        self, ticket: _Ticket, deed: Deed, began_s: float, ended_s: float
+    def _write_entry(
+        self,
+        info: _RequestInfo,
+        result: RequestResult,
+        began_s: float,
+        ended_s: float,
     ) -> None:
-        """Adds a line to the journal."""
-        self._entries += 1
+        """Appends an entry to the journal."""
+        self._entry_count += 1
         if self._journal is None:
             return
         entry = JournalEntry(
-            number=self._entries,
-            deed=deed,
+            number=self._entry_count,
+            result=result,
             began_s=began_s,
             ended_s=ended_s,
             server=self._settings.server,
-            service=ticket.service,
-            key=ticket.key,
-            slice=ticket.slice,
-            token=ticket.token,
-            front_token=ticket.front_token,
-            method=ticket.method,
-            request_id=ticket.request_id,
-            idempotency_key=ticket.idempotency_key,
+            service=info.service,
+            key=info.key,
+            slice=info.slice,
+            token=info.token,
+            front_token=info.front_token,
+            method=info.method,
+            request_id=info.request_id,
+            idempotency_key=info.idempotency_key,
         )
         self._journal.write(codec.to_json(entry).encode() + b"\n")
 
-    def _answer(self, ticket: _Ticket, value: int) -> responses.Response:
-        """Returns the answer, cut off if the fault says so."""
+    def _answer(self, info: _RequestInfo, value: int) -> responses.Response:
+        """Returns the answer, cut off if ``cut_answers`` is set."""
         body = codec.to_json(
             {
                 "server": self._settings.server,
-                "key": ticket.key,
-                "request_id": ticket.request_id,
+                "key": info.key,
+                "request_id": info.request_id,
                 "value": value,
             }
         ).encode()
@@ -375,8 +389,8 @@
             body = body[: len(body) // 2]
         return responses.Response(body, headers=headers)
 
-    def _find_service_s(self) -> float:
-        """Returns how long a request takes now."""
+    def _get_service_s(self) -> float:
+        """Returns how long a request takes at present, in seconds."""
         cold_s = self._settings.cold_ms / 1_000
         is_cold = time.monotonic() - self._started_s < cold_s
         factor = self._settings.cold_factor if is_cold else 1.0
@@ -385,24 +399,24 @@
 
 
 def _open_journal(path: str) -> io.FileIO | None:
-    """Opens the journal's file for appending without a buffer."""
+    """Opens the file of the journal for unbuffered appending."""
     return io.FileIO(path, "ab") if path else None
 
 
-def _read_ticket(request: requests.Request) -> _Ticket:
-    """Returns what the headers of a request say."""
+def _read_request_info(request: requests.Request) -> _RequestInfo:
+    """Reads the path and the headers of a request."""
 
-    def number(name: bytes) -> int:
+    def parse_number(name: bytes) -> int:
         return int(request.headers.get(name.decode(), "-1"))
 
     service, key = request.path_params["rest"].split("/")[:2]
-    return _Ticket(
+    return _RequestInfo(
         service=service,
         key=key,
-        slice=number(backends.SLICE_HEADER),
-        token=number(backends.TOKEN_HEADER),
-        front_token=number(backends.FRONT_TOKEN_HEADER),
-        deadline_ms=number(backends.DEADLINE_HEADER),
+        slice=parse_number(backends.SLICE_HEADER),
+        token=parse_number(backends.TOKEN_HEADER),
+        front_token=parse_number(backends.FRONT_TOKEN_HEADER),
+        deadline_ms=parse_number(backends.DEADLINE_HEADER),
         method=request.method,
         request_id=request.headers.get(backends.REQUEST_ID_HEADER.decode(), ""),
         idempotency_key=request.headers.get("idempotency-key", ""),
@@ -410,19 +424,19 @@
 
 
 def _now_ms() -> float:
-    """Returns the server's monotonic clock in milliseconds."""
+    """Returns the monotonic time in milliseconds."""
     return time.monotonic() * 1_000
 
 
-def _json(value: object) -> responses.Response:
-    """Returns a value as a JSON answer."""
+def _make_json_answer(value: object) -> responses.Response:
+    """Returns an answer with a value as JSON."""
     return responses.Response(
         codec.to_json(value), media_type="application/json"
     )
 
 
 def read_journal(path: pathlib.Path) -> list[JournalEntry]:
-    """Returns the journal in a file; a last line that is cut off is left."""
+    """Returns the entries of a journal; omits an incomplete last line."""
     if not path.exists():
         return []
     lines = path.read_bytes().split(b"\n")
--- a/libs/bridgecross-standins/src/bridgecross_standins/checker.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/checker.py
@@ -1,7 +1,7 @@
-"""Checks the journals of the servers against what must always hold.
+"""Checks the journals of the backend servers for violated guarantees.
 
-The checker knows nothing of how the system works. It reads what the servers
-did, with the machine's monotonic times, and what callers were told.
+The checker doesn't depend on how the router works. It reads only what the
+servers did, with the machine's monotonic times, and what callers were told.
 """
 
 import collections
@@ -15,35 +15,37 @@
 
 
 class Violation(NamedTuple):
-    """Something that must never happen did."""
+    """A violation of a guarantee."""
 
     rule: str
     detail: str
 
 
-def list_ran(journal: Iterable[JournalEntry]) -> list[JournalEntry]:
-    """Returns the requests that took effect, by the time of the effect."""
-    ran = [e for e in journal if e.deed is backend_standin.Deed.RAN]
-    return sorted(ran, key=lambda entry: entry.ended_s)
+def list_executed(journal: Iterable[JournalEntry]) -> list[JournalEntry]:
+    """Returns the requests that took effect, in the order of their effects."""
+    executed = [
+        e for e in journal if e.result is backend_standin.RequestResult.RAN
+    ]
+    return sorted(executed, key=lambda entry: entry.ended_s)
 
 
 def check_owners(journal: Iterable[JournalEntry]) -> list[Violation]:
-    """Returns each key that two servers served at the same time.
+    """Returns a violation for each effect that a server had as a former owner.
 
-    A request takes effect at its end. Effects under a lower token after one
-    under a higher token mean that an earlier owner acted on after the key
-    had a new one. A server may act on under its own lower token: it gets a
-    higher one with a new front, and no other owner came between, or the
-    higher token would be that owner's.
+    A request takes effect at its end. An effect under a lower token after one
+    under a higher token means that a former owner kept serving after the key
+    had a new owner. The exception is a server that has both tokens: it gets a
+    higher one when its front changes, and no other server owned the slice in
+    between, as the higher token would then be that server's.
     """
     violations = []
     newest: dict[tuple[str, int], JournalEntry] = {}
-    for entry in list_ran(journal):
-        subject = (entry.service, entry.slice)
-        last = newest.get(subject)
+    for entry in list_executed(journal):
+        owned = (entry.service, entry.slice)
+        last = newest.get(owned)
         if last is None or entry.server == last.server:
             if last is None or entry.token >= last.token:
-                newest[subject] = entry
+                newest[owned] = entry
         elif entry.token < last.token:
             violations.append(
                 Violation(
@@ -63,20 +65,20 @@
                 )
             )
         else:
-            newest[subject] = entry
+            newest[owned] = entry
     return violations
 
 
 def check_single_runs(journal: Iterable[JournalEntry]) -> list[Violation]:
-    """Returns each non-repeatable request that took effect twice."""
-    runs = collections.Counter(
+    """Returns a violation for each non-repeatable request that ran twice."""
+    run_counts = collections.Counter(
         (entry.service, entry.idempotency_key)
-        for entry in list_ran(journal)
+        for entry in list_executed(journal)
         if entry.idempotency_key and entry.method == "POST"
     )
     return [
         Violation("at most once", f"{key} of {service} ran {count} times")
-        for (service, key), count in runs.items()
+        for (service, key), count in run_counts.items()
         if count > 1
     ]
 
@@ -84,15 +86,16 @@
 def check_not_run(
     journal: Iterable[JournalEntry], told_not_run: Sequence[str]
 ) -> list[Violation]:
-    """Returns each request that ran although its caller was told otherwise.
+    """Returns a violation for each request that ran but was reported not run.
 
     Args:
-        journal: What the servers did.
-        told_not_run: The request ids whose callers were told "not run".
+        journal: The entries of the servers' journals.
+        told_not_run: The ids of the requests whose callers got the outcome
+            "not run".
     """
-    ran = {entry.request_id for entry in list_ran(journal)}
+    executed_ids = {entry.request_id for entry in list_executed(journal)}
     return [
         Violation("not run is true", f"{request_id} was run")
         for request_id in told_not_run
-        if request_id in ran
+        if request_id in executed_ids
     ]
--- a/libs/bridgecross-standins/src/bridgecross_standins/log_standin.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/log_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's log service, with faults.
+"""A stand-in for the platform's log service, with fault injection.
 
 ``POST /streams/{stream}`` and ``GET /streams/{stream}`` are described in
 ``bridgecross_log.http_service``; ``PUT /faults`` takes a JSON ``LogFaults``.
@@ -23,32 +23,33 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogFaults:
-    """What goes wrong at the moment."""
+    """The faults of the log that are in force."""
 
-    # Whether nothing is answered but 503.
+    # Whether all appends and reads are answered with 503.
     outage: bool = False
-    # How long every call takes longer.
+    # The additional time that every append and read takes.
     delay_ms: int = 0
-    # The next appends that take effect although the answer is 504.
+    # The number of further appends that are answered with 504 although they
+    # take effect.
     lose_acknowledgements: int = 0
-    # How long after its answer of 504 such an append takes effect.
+    # The time until such an append takes effect; it is answered only then.
     late_effect_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
 class LogStandinSettings:
-    """What the log can do."""
+    """The limits of the log."""
 
-    # Appends a second over all streams; more are made to wait.
+    # The appends per second over all streams; more are delayed.
     appends_per_s: float = 500.0
-    # Records that a stream keeps; older ones expire.
+    # The number of records that a stream keeps; older ones expire.
     retained_records: int = 100_000
     # How long a record is kept.
     retained_s: float = 86_400.0
 
 
 class _Stream:
-    """One stream in memory."""
+    """A stream that is kept in memory."""
 
     def __init__(self) -> None:
         self.first = 0
@@ -57,7 +58,7 @@
 
     @property
     def next(self) -> int:
-        """The offset that the next record gets."""
+        """The offset of the next record."""
         return self.first + len(self.records)
 
     def append(self, data: bytes) -> int:
@@ -67,7 +68,7 @@
         return self.next - 1
 
     def expire(self, settings: LogStandinSettings) -> None:
-        """Forgets records that are too many or too old."""
+        """Removes the oldest records beyond the limits of number and age."""
         oldest_s = time.monotonic() - settings.retained_s
         surplus = max(len(self.records) - settings.retained_records, 0)
         while surplus < len(self.times_s) and self.times_s[surplus] < oldest_s:
@@ -79,10 +80,10 @@
 
 
 class LogStandin:
-    """The log service in memory."""
+    """A log service that is kept in memory."""
 
     def __init__(self, settings: LogStandinSettings) -> None:
-        """Starts with no streams and no faults."""
+        """Initializes a log without streams or faults."""
         self.faults = LogFaults()
         self._settings = settings
         self._streams: dict[str, _Stream] = {}
@@ -91,7 +92,7 @@
         self._batches = codec.Codec(service.ReadBatch)
 
     def build_app(self) -> applications.Starlette:
-        """Returns the HTTP application."""
+        """Returns the ASGI application."""
         return applications.Starlette(
             routes=[
                 routing.Route(
@@ -111,12 +112,12 @@
         return responses.Response(status_code=204)
 
     async def _append(self, request: requests.Request) -> responses.Response:
-        """Appends a record, as far as the faults allow."""
+        """Appends a record, subject to the faults."""
         data = await request.body()
-        await self._pace()
+        await self._throttle()
         if self.faults.outage:
             return _unavailable()
-        stream = self._find(request.path_params["stream"])
+        stream = self._get_stream(request.path_params["stream"])
         if self.faults.lose_acknowledgements > 0:
             return await self._append_unacknowledged(stream, data)
         offset = stream.append(data)
@@ -127,10 +128,10 @@
     async def _append_unacknowledged(
         self, stream: _Stream, data: bytes
     ) -> responses.Response:
-        """Appends a record, now or later, but does not say so."""
-        left = self.faults.lose_acknowledgements - 1
+        """Makes an append after ``late_effect_ms`` and answers it with 504."""
+        remaining = self.faults.lose_acknowledgements - 1
         self.faults = dataclasses.replace(
-            self.faults, lose_acknowledgements=left
+            self.faults, lose_acknowledgements=remaining
         )
         await anyio.sleep(self.faults.late_effect_ms / 1_000)
         stream.append(data)
@@ -138,13 +139,13 @@
         return responses.PlainTextResponse("timed out", status_code=504)
 
     async def _read(self, request: requests.Request) -> responses.Response:
-        """Returns records, waiting for the first if there is none."""
+        """Returns records; waits up to ``wait_ms`` if there are none yet."""
         from_offset = int(request.query_params["from"])
         wait_s = int(request.query_params["wait_ms"]) / 1_000
         await anyio.sleep(self.faults.delay_ms / 1_000)
         if self.faults.outage:
             return _unavailable()
-        stream = self._find(request.path_params["stream"])
+        stream = self._get_stream(request.path_params["stream"])
         stream.expire(self._settings)
         if from_offset < stream.first:
             return responses.JSONResponse(
@@ -156,30 +157,30 @@
         if self.faults.outage:
             return _unavailable()
         return responses.Response(
-            self._batches.encode(_cut_batch(stream, from_offset)),
+            self._batches.encode(_make_batch(stream, from_offset)),
             media_type="application/msgpack",
         )
 
-    async def _pace(self) -> None:
-        """Makes appends wait so that no more than allowed are done."""
+    async def _throttle(self) -> None:
+        """Delays an append to keep to ``appends_per_s``, and by the fault."""
         now_s = time.monotonic()
         start_s = max(now_s, self._next_append_s)
         self._next_append_s = start_s + 1 / self._settings.appends_per_s
         await anyio.sleep(start_s - now_s + self.faults.delay_ms / 1_000)
 
-    def _find(self, name: str) -> _Stream:
-        """Returns a stream, made when first asked for."""
+    def _get_stream(self, name: str) -> _Stream:
+        """Returns a stream; creates it on first use."""
         return self._streams.setdefault(name, _Stream())
 
 
-def _cut_batch(stream: _Stream, from_offset: int) -> service.ReadBatch:
-    """Returns the records from an offset on, up to a limit."""
+def _make_batch(stream: _Stream, from_offset: int) -> service.ReadBatch:
+    """Returns the records from an offset on, at most ``_MAX_BATCH``."""
     start = max(from_offset - stream.first, 0)
-    cut = stream.records[start : start + _MAX_BATCH]
+    batch = stream.records[start : start + _MAX_BATCH]
     return service.ReadBatch(
         records=[
             service.StoredRecord(ids.Offset(stream.first + start + i), data)
-            for i, data in enumerate(cut)
+            for i, data in enumerate(batch)
         ],
         first_offset=ids.Offset(stream.first),
         next_offset=ids.Offset(stream.next),
@@ -187,5 +188,5 @@
 
 
 def _unavailable() -> responses.Response:
-    """Returns what the log answers in an outage."""
+    """Returns the answer of the log during an outage."""
     return responses.PlainTextResponse("outage", status_code=503)
--- a/libs/bridgecross-standins/src/bridgecross_standins/main.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/main.py
@@ -1,4 +1,4 @@
-"""The command line of a single stand-in."""
+"""The command line that runs a single stand-in."""
 
 import argparse
 import sys
@@ -26,7 +26,7 @@
 
 
 def _build_parser() -> argparse.ArgumentParser:
-    """Returns the parser of the command line."""
+    """Returns the command-line parser."""
     parser = argparse.ArgumentParser(prog="bridgecross-standin")
     parser.add_argument("kind", choices=["log", "list", "backend"])
     parser.add_argument("--address", required=True, help="host:port")
@@ -37,19 +37,23 @@
 
 
 def _build_app(options: argparse.Namespace) -> Any:
-    """Returns the application of the kind that was asked for."""
-    text: str = options.settings
+    """Returns the application of the requested kind."""
+    settings_json: str = options.settings
     if options.kind == "log":
-        log_settings = codec.from_json(text, log_standin.LogStandinSettings)
+        log_settings = codec.from_json(
+            settings_json, log_standin.LogStandinSettings
+        )
         return log_standin.LogStandin(log_settings).build_app()
     if options.kind == "list":
         return list_standin.ListStandin().build_app()
-    settings = codec.from_json(text, backend_standin.BackendStandinSettings)
+    settings = codec.from_json(
+        settings_json, backend_standin.BackendStandinSettings
+    )
     return backend_standin.BackendStandin(settings).build_app()
 
 
 async def _run(address: str, app: Any) -> None:
-    """Serves until a signal comes."""
+    """Serves the application until a signal arrives."""
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         await tasks.start(signals.watch_stop, stop.set)
--- a/libs/bridgecross-standins/src/bridgecross_standins/probing.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/probing.py
@@ -1,7 +1,7 @@
-"""Sends requests at a steady rate and remembers what became of each.
+"""Sends requests at a steady rate and records the outcome of each.
 
-The rate does not depend on the answers (an open loop), so a stall shows as
-many late requests rather than as few sent ones.
+The rate doesn't depend on the answers (open-loop load), so a stall shows as
+many late requests instead of as few sent ones.
 """
 
 from collections.abc import Callable
@@ -15,20 +15,20 @@
 import httpx
 
 _CONNECTIONS = 500
-_CLIENT_SLACK_S = 1.0
+_TIMEOUT_MARGIN_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ProbeSettings:
-    """How requests are sent."""
+    """The requests that a prober sends."""
 
     # The credential of the caller.
     credential: str
-    # The service.
+    # The service that the requests are for.
     service: str
     # The keys, used in turn.
     keys: tuple[str, ...]
-    # Requests a second.
+    # The number of requests per second.
     rate_per_s: float
     # The deadline of each request.
     deadline_ms: int = 1_000
@@ -37,10 +37,10 @@
 
 
 class Probe(NamedTuple):
-    """One request and what became of it.
+    """A request and its outcome.
 
-    ``status`` is 0 if no answer came; ``request_id`` is empty unless the
-    answer told it. Times are monotonic seconds.
+    ``status`` is 0 if no answer arrived; ``request_id`` is empty unless the
+    answer contained it. Times are monotonic, in seconds.
     """
 
     key: str
@@ -54,15 +54,15 @@
 
 
 class Prober:
-    """Sends requests until it is stopped."""
+    """Sends requests at a steady rate until it is stopped."""
 
     def __init__(
         self, settings: ProbeSettings, choose_url: Callable[[], str | None]
     ) -> None:
-        """Sends nothing yet.
+        """Initializes the prober.
 
         Args:
-            settings: How requests are sent.
+            settings: The requests to send.
             choose_url: Returns the base URL of an entry instance, or None if
                 there is none at the moment.
         """
@@ -73,7 +73,7 @@
         self._number = 0
 
     def stop(self) -> None:
-        """Sends no further request; those in flight are waited for."""
+        """Stops sending; ``run`` still waits for the requests in flight."""
         self._stopped = True
 
     async def run(self) -> None:
@@ -94,7 +94,7 @@
                 await anyio.sleep(max(due_s - time.monotonic(), 0))
 
     async def _send(self, client: httpx.AsyncClient, number: int) -> None:
-        """Sends one request and remembers what became of it."""
+        """Sends one request and records its outcome."""
         settings = self.settings
         key = settings.keys[number % len(settings.keys)]
         url = self._choose_url()
@@ -115,7 +115,7 @@
                     "Bridgecross-Deadline-Ms": str(settings.deadline_ms),
                     "Idempotency-Key": f"{id(self)}-{number}",
                 },
-                timeout=settings.deadline_ms / 1_000 + _CLIENT_SLACK_S,
+                timeout=settings.deadline_ms / 1_000 + _TIMEOUT_MARGIN_S,
             )
             status = response.status_code
             outcome = response.headers.get("bridgecross-outcome", "none")
@@ -143,23 +143,23 @@
     since_s: float,
     counts: Callable[[Probe], bool] = lambda probe: True,
 ) -> dict[str, float]:
-    """Returns for each key how long after a time it was first served again.
+    """Returns how long each key was unavailable after a time, in seconds.
 
-    A key counts as served again at the end of the first request that was
-    sent after the time and answered. A key that was never served again has
+    A key is available again at the end of the first request that was sent
+    after the time and answered. The value of a key that never was is
     infinity.
 
     Args:
-        probes: What was sent.
-        since_s: The monotonic time of the loss.
-        counts: Which probes to look at.
+        probes: The requests that were sent.
+        since_s: The monotonic time at which the keys became unavailable.
+        counts: Returns whether a probe is taken into account.
     """
-    served: dict[str, float] = {}
+    unavailable_s: dict[str, float] = {}
     for probe in probes:
         if probe.sent_s < since_s or not counts(probe):
             continue
-        served.setdefault(probe.key, math.inf)
+        unavailable_s.setdefault(probe.key, math.inf)
         if probe.outcome == "answered":
             waited_s = probe.done_s - since_s
-            served[probe.key] = min(served[probe.key], waited_s)
-    return served
+            unavailable_s[probe.key] = min(unavailable_s[probe.key], waited_s)
+    return unavailable_s
--- a/libs/bridgecross-standins/src/bridgecross_standins/processes.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/processes.py
@@ -1,7 +1,7 @@
-"""Starts a whole house as separate processes on this machine.
+"""Starts a cluster as separate processes on this machine.
 
-For tests, measurements and the demo. Every process listens on loopback and
-is ended by its id when the house is closed.
+For tests, benchmarks and the demo. Every process listens on loopback and is
+ended by its process id when the cluster is closed.
 """
 
 import dataclasses
@@ -38,41 +38,41 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceShape:
-    """How many backend servers a service has, and what they are like."""
+    """The number and speed of the backend servers of a service."""
 
     # The service's name in the settings.
     service: str
     # The number of backend servers.
     servers: int
-    # How long a request takes.
+    # The time that a request takes at a server.
     service_ms: float = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
-class HouseShape:
-    """What to start."""
+class ClusterShape:
+    """The processes of a cluster and their settings."""
 
     # The file with the house's settings.
     settings_file: pathlib.Path
-    # The place to start.
+    # The place, as the settings name it.
     place: str
-    # The services.
+    # The services and their backend servers.
     services: tuple[ServiceShape, ...]
     # The number of entry instances.
     instances: int
-    # Where logs and process settings are written.
+    # The folder for logs, journals and process settings.
     folder: pathlib.Path
     # The settings of the log stand-in, as JSON.
     log_settings: str = "{}"
 
 
 class Process:
-    """One process that was started here."""
+    """A process that this process started."""
 
     def __init__(
         self, name: str, arguments: list[str], folder: pathlib.Path
     ) -> None:
-        """Starts the process; its output goes to a file in the folder."""
+        """Starts the process; writes its output to a file in the folder."""
         self.name = name
         self.log_path = folder / f"{name}.log"
         with self.log_path.open("wb") as output:
@@ -82,7 +82,7 @@
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """The process id."""
         return self._process.pid
 
     def is_running(self) -> bool:
@@ -90,49 +90,49 @@
         return self._process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Sends the process a signal, if it still runs."""
+        """Sends a signal to the process if it is still running."""
         if self.is_running():
             os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """Ends the process at once, as a loss would."""
+        """Ends the process immediately, as a crash would."""
         self.signal(signal.SIGKILL)
         self._process.wait()
 
     def terminate(self) -> None:
-        """Begins a planned stop."""
+        """Asks the process to stop gracefully."""
         self.signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float = _STOP_TIMEOUT_S) -> int:
         """Waits until the process has ended and returns its exit code.
 
         Raises:
-            subprocess.TimeoutExpired: It did not end in time.
+            subprocess.TimeoutExpired: The process did not end in time.
         """
         return self._process.wait(timeout_s)
 
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """An entry instance that was started here."""
+    """An entry instance of the cluster."""
 
     # Its name in the instance list.
     name: str
     # The process.
     process: Process
-    # Where callers reach it.
+    # The base URL for callers.
     caller_url: str
-    # Where health checks and metrics are.
+    # The base URL of health checks and metrics.
     admin_url: str
-    # Where peers reach it, as ``host:port``.
+    # The address for other instances, as ``host:port``.
     peer_address: str
-    # The process's settings, which the command-line tool reads as well.
+    # The settings file of the process, which the command-line tool also reads.
     settings_path: pathlib.Path
 
 
 @dataclasses.dataclass(frozen=True)
 class Server:
-    """A backend server that was started here."""
+    """A backend server of the cluster."""
 
     # Its name in the instance list.
     name: str
@@ -140,27 +140,27 @@
     service: str
     # The process.
     process: Process
-    # Where it is reached, as ``host:port``.
+    # The address for requests and leases, as ``host:port``.
     address: str
 
 
 class StartError(RuntimeError):
-    """A process did not come up."""
+    """A process did not start in time."""
 
 
-class House:
-    """A house's processes, from the log service to the entry instances."""
+class Cluster:
+    """The processes of a cluster, which include the stand-ins."""
 
-    def __init__(self, shape: HouseShape) -> None:
-        """Starts log service, instance list and backend servers."""
+    def __init__(self, shape: ClusterShape) -> None:
+        """Starts the log service, the instance list and the backend servers."""
         self.shape = shape
         self.settings = _read_house(shape.settings_file)
         self.entries: dict[str, Entry] = {}
         self.servers: dict[str, Server] = {}
         self._client = httpx.Client(trust_env=False, timeout=5.0)
         shape.folder.mkdir(parents=True, exist_ok=True)
-        for old in shape.folder.glob("*.journal"):
-            old.unlink()
+        for old_journal in shape.folder.glob("*.journal"):
+            old_journal.unlink()
         self.log_url = f"http://{_LOOPBACK}:{find_free_port()}"
         self.list_url = f"http://{_LOOPBACK}:{find_free_port()}"
         self.log = self._start_standin(
@@ -172,21 +172,21 @@
             for number in range(1, service.servers + 1):
                 self.start_server(service, f"{service.service}-{number}")
 
-    def __enter__(self) -> "House":
-        """Returns the house."""
+    def __enter__(self) -> "Cluster":
+        """Returns the cluster."""
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Ends all processes."""
+        """Ends all processes of the cluster."""
         self.close()
 
     @property
     def place(self) -> tree.Place:
-        """The place's settings as the file has them."""
+        """The settings of the place, as the settings file contains them."""
         return self.settings.places[self.shape.place]
 
     def start_server(self, shape: ServiceShape, name: str) -> Server:
-        """Starts a backend server and lists it."""
+        """Starts a backend server and adds it to the instance list."""
         policy = self.place.services[shape.service].policy
         address = f"{_LOOPBACK}:{find_free_port()}"
         settings = backend_standin.BackendStandinSettings(
@@ -217,13 +217,13 @@
         """Waits until every entry instance is ready.
 
         Raises:
-            StartError: One of them did not come up.
+            StartError: An instance did not become ready in time.
         """
         for entry in self.entries.values():
             self._await_http(entry.process, f"{entry.admin_url}/readyz")
 
     def start_entry(self, name: str) -> Entry:
-        """Starts one entry instance and lists it."""
+        """Starts an entry instance and adds it to the instance list."""
         peer_address = f"{_LOOPBACK}:{find_free_port()}"
         caller_address = f"{_LOOPBACK}:{find_free_port()}"
         admin_address = f"{_LOOPBACK}:{find_free_port()}"
@@ -279,32 +279,32 @@
         return entry
 
     def put_listing(self, listing: membership.Listing) -> None:
-        """Adds or changes a line of the instance list."""
+        """Adds or replaces an entry of the instance list."""
         self._client.put(
             f"{self.list_url}/instances/{listing.name}",
             content=codec.to_json(listing),
         ).raise_for_status()
 
     def delete_listing(self, name: str) -> None:
-        """Removes a line of the instance list."""
+        """Removes an entry of the instance list."""
         self._client.delete(f"{self.list_url}/instances/{name}")
 
     def set_faults(self, base_url: str, faults: object) -> None:
-        """Switches the faults of a stand-in."""
+        """Replaces the faults of the stand-in at a base URL."""
         self._client.put(
             f"{base_url}/faults", content=codec.to_json(faults)
         ).raise_for_status()
 
     def read_journal(self, name: str) -> list[backend_standin.JournalEntry]:
-        """Returns what a backend server has journalled, alive or not."""
+        """Returns the journal of a backend server, which may have ended."""
         return backend_standin.read_journal(self._journal_path(name))
 
     def read_journals(self) -> list[backend_standin.JournalEntry]:
-        """Returns what all backend servers have journalled."""
+        """Returns the journal entries of all backend servers."""
         return [e for name in self.servers for e in self.read_journal(name)]
 
     def close(self) -> None:
-        """Ends all processes that were started here."""
+        """Ends all processes of the cluster."""
         processes = [entry.process for entry in self.entries.values()]
         processes += [server.process for server in self.servers.values()]
         for process in [*processes, self.list, self.log]:
@@ -313,18 +313,18 @@
         self._client.close()
 
     def _journal_path(self, name: str) -> pathlib.Path:
-        """Returns the file of a server's journal."""
+        """Returns the path of a server's journal."""
         return self.shape.folder / f"{name}.journal"
 
     def _choose_domain(self, number: int) -> str:
-        """Returns a failure domain, one after another."""
+        """Returns a failure domain of the place, round robin."""
         domains = self.place.failure_domains
         return domains[number % len(domains)]
 
     def _start_standin(
         self, name: str, kind: str, url: str, settings: str
     ) -> Process:
-        """Starts a stand-in."""
+        """Starts a stand-in that listens at a URL."""
         return Process(
             name,
             [
@@ -341,13 +341,13 @@
         )
 
     def _await_http(self, process: Process, url: str) -> None:
-        """Waits until a URL answers 200.
+        """Waits until a URL is answered with 200.
 
         Raises:
-            StartError: It did not in time, or the process ended.
+            StartError: The timeout passed, or the process ended.
         """
-        give_up_s = time.monotonic() + _START_TIMEOUT_S
-        while time.monotonic() < give_up_s and process.is_running():
+        deadline_s = time.monotonic() + _START_TIMEOUT_S
+        while time.monotonic() < deadline_s and process.is_running():
             try:
                 if self._client.get(url).status_code == _HTTP_OK:
                     return
@@ -355,34 +355,34 @@
                 pass
             time.sleep(_POLL_S)
         output = process.log_path.read_text(errors="replace")[-2_000:]
-        raise StartError(f"{process.name} did not come up:\n{output}")
+        raise StartError(f"{process.name} did not start:\n{output}")
 
 
 def find_free_port() -> int:
-    """Returns a loopback port that is free at the moment.
+    """Returns a loopback port that is free at present.
 
-    The port lies below those that the kernel gives to outgoing connections,
-    so that none of these can take it before it is bound. Runs that go on at
-    the same time start at different ports.
+    The port lies below the range for outgoing connections, so that none of
+    these can take it before it is bound. The first port that is tried depends
+    on the process id, so that concurrent runs try different ones.
 
     Raises:
         StartError: No port is free.
     """
     for port in _ports:
-        with socket.socket() as probe:
-            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        with socket.socket() as trial_socket:
+            trial_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
-                probe.bind((_LOOPBACK, port))
+                trial_socket.bind((_LOOPBACK, port))
             except OSError:
                 continue
             return port
-    raise StartError("no port is free")
+    raise StartError("no loopback port is free")
 
 
 def _read_house(path: pathlib.Path) -> tree.House:
-    """Reads the settings of a house.
+    """Reads the settings file of a house.
 
     Raises:
-        findings.FindingsError: They are not sound.
+        findings.FindingsError: The settings are not valid.
     """
     return check.check_text(path.read_text(encoding="utf-8"), str(path))
--- a/libs/bridgecross-standins/src/bridgecross_standins/serving.py
+++ b/libs/bridgecross-standins/src/bridgecross_standins/serving.py
@@ -8,12 +8,12 @@
 
 
 async def serve(address: str, app: Any, stop: anyio.Event) -> None:
-    """Serves an application until it is told to stop.
+    """Serves an application until the stop event is set.
 
     Args:
-        address: ``host:port`` with an IP number.
+        address: ``host:port`` with an IP address.
         app: An ASGI application.
-        stop: Set to stop.
+        stop: The event that ends the serving.
     """
     config = hypercorn.config.Config()
     config.bind = [address]
--- a/libs/bridgecross-standins/tests/test_backend_standin.py
+++ b/libs/bridgecross-standins/tests/test_backend_standin.py
@@ -1,11 +1,11 @@
-"""A backend server that is stopped between its last look and its effect.
-
-A server that was stopped by a signal and continued ran a request 0.163 s after
-the next owner of the key had run one, under an older token. Its last look at
-its lease came before the stop, and the effect some turns of the event loop
-later, after it: the lease was over by then. A stop shows to a program only as a
-clock that has jumped between two readings, so going through all readings of a
-request goes through all moments at which it can be stopped.
+"""A backend server must not apply effects after its lease has expired.
+
+A server that was stopped by SIGSTOP and continued ran a request 0.163 s after
+the next owner of the key had run one, under an older token. It had checked its
+lease before the stop, and applied the effect some iterations of the event loop
+later, after the stop, when the lease had expired. A program sees a stop only as
+a jump of the clock between two readings, so a jump at each reading in turn
+covers all moments at which a request can be stopped.
 """
 
 import contextlib
@@ -32,24 +32,24 @@
 pytestmark = pytest.mark.anyio
 
 LEASE_MS = 150
-STOPS = 60
-"""Stops in a series: about 15 s."""
+STOP_COUNT = 60
+"""The stops of the random test, which take about 15 s."""
 
 SEED = 20
-CALLERS = 8
+CALLER_COUNT = 8
 GRANT = leases.SliceGrant(ids.SliceIndex(0), ids.Token(2))
 FRONT_TOKEN = ids.Token(1)
 
 
 class Lease(NamedTuple):
-    """When the server may act, on its own clock in seconds."""
+    """The time in which the server may act, on its own clock."""
 
     since_s: float
     until_s: float
 
 
 class Front:
-    """Gives a server leases and remembers them."""
+    """Gives leases to a server and records them."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self.leases: list[Lease] = []
@@ -57,7 +57,7 @@
         self._sequence = 0
 
     async def give_lease(self, lease_ms: int) -> None:
-        """Asks for the server's clock, and gives a lease from its reading."""
+        """Reads the server's clock and gives a lease from that reading on."""
         clock = await self._exchange(None, lease_ms)
         await self._exchange(clock, lease_ms)
         since_s = clock.reading_ms / 1_000
@@ -67,7 +67,7 @@
         self, echo: leases.ClockEcho | None, lease_ms: int
     ) -> leases.ClockEcho:
         self._sequence += 1
-        asked = leases.LeaseRequest(
+        request = leases.LeaseRequest(
             service=ids.ServiceName("rapor"),
             front=ids.InstanceId("entry-1"),
             front_token=FRONT_TOKEN,
@@ -77,17 +77,17 @@
             grants=[GRANT],
         )
         answer = await self._client.put(
-            "/bridgecross/lease", content=codec.to_json(asked)
+            "/bridgecross/lease", content=codec.to_json(request)
         )
         return codec.from_json(answer.content, leases.LeaseReply).clock
 
-    def find_outside(
+    def find_effects_without_lease(
         self, journal: list[backend_standin.JournalEntry]
     ) -> list[backend_standin.JournalEntry]:
-        """Returns the effects at moments at which no lease ran."""
+        """Returns the requests that took effect while no lease was valid."""
         return [
             entry
-            for entry in checker.list_ran(journal)
+            for entry in checker.list_executed(journal)
             if not any(
                 lease.since_s <= entry.ended_s < lease.until_s
                 for lease in self.leases
@@ -103,29 +103,29 @@
         backends.FRONT_TOKEN_HEADER: str(FRONT_TOKEN),
         backends.DEADLINE_HEADER: str(int(time.time() * 1_000) + 60_000),
     }
-    named = {name.decode(): value for name, value in headers.items()}
-    return await client.put("/v1/rapor/k", headers=named)
+    text_headers = {name.decode(): value for name, value in headers.items()}
+    return await client.put("/v1/rapor/k", headers=text_headers)
 
 
 class JumpingClock:
-    """Real time, until a reading from which on it is ten seconds later."""
+    """A real clock that jumps ahead by ten seconds at a chosen reading."""
 
     def __init__(self) -> None:
-        self.readings_count = 0
-        self.jumps_at = -1
+        self.reading_count = 0
+        self.jump_index = -1
 
     def monotonic(self) -> float:
-        """Returns the reading, which may be the one with the jump."""
-        self.readings_count += 1
-        has_jumped = 0 <= self.jumps_at < self.readings_count
+        """Returns the time, 10 s ahead from the chosen reading on."""
+        self.reading_count += 1
+        has_jumped = 0 <= self.jump_index < self.reading_count
         return time.monotonic() + (10.0 if has_jumped else 0.0)
 
     def build(self) -> types.SimpleNamespace:
-        """Returns what stands in for the module ``time``."""
+        """Returns a substitute for the module ``time``."""
         return types.SimpleNamespace(monotonic=self.monotonic, time=time.time)
 
 
-async def test_no_effect_follows_the_lease_wherever_the_server_is_stopped(
+async def test_no_effect_follows_the_lease_if_the_server_stops_at_a_reading(
     tmp_path, monkeypatch
 ):
     jump = 0
@@ -144,22 +144,26 @@
         ) as client:
             front = Front(client)
             await front.give_lease(1_000)
-            clock.jumps_at = clock.readings_count + jump
+            clock.jump_index = clock.reading_count + jump
             answer = await _write(client)
         journal = backend_standin.read_journal(path)
-        assert front.find_outside(journal) == [], f"stopped at reading {jump}"
-        ran = bool(checker.list_ran(journal))
+        assert front.find_effects_without_lease(journal) == [], (
+            f"stopped at reading {jump}"
+        )
+        ran = bool(checker.list_executed(journal))
         assert ran == (answer.status_code == 200)
-        if clock.readings_count <= clock.jumps_at:
+        if clock.reading_count <= clock.jump_index:
             break
         jump += 1
     assert ran
     assert jump > 2
 
 
-async def test_a_series_of_stops_lets_no_effect_follow_its_lease(tmp_path):
-    """The same with a process, real signals and requests side by side."""
-    draws = random.Random(SEED)
+async def test_no_effect_follows_the_lease_when_a_process_is_stopped_at_random(
+    tmp_path,
+):
+    """The same with a real process, real signals and concurrent requests."""
+    random_source = random.Random(SEED)
     path = tmp_path / "rapor-1.journal"
     settings = backend_standin.BackendStandinSettings(
         "rapor-1", journal_path=str(path)
@@ -172,14 +176,14 @@
         ) as client:
             await _await_server(client)
             front = Front(client)
-            for _ in range(STOPS):
-                await _stop_once(process, client, front, draws)
+            for _ in range(STOP_COUNT):
+                await _stop_once(process, client, front, random_source)
     finally:
         process.signal(signal.SIGCONT)
         process.kill()
     journal = backend_standin.read_journal(path)
-    assert len(checker.list_ran(journal)) > STOPS
-    assert front.find_outside(journal) == []
+    assert len(checker.list_executed(journal)) > STOP_COUNT
+    assert front.find_effects_without_lease(journal) == []
 
 
 def _start(address, settings, folder: pathlib.Path) -> processes.Process:
@@ -198,8 +202,8 @@
             await anyio.sleep(0.05)
 
 
-async def _stop_once(process, client, front: Front, draws) -> None:
-    """Gives a lease, and stops the busy server until it is over."""
+async def _stop_once(process, client, front: Front, random_source) -> None:
+    """Gives a lease and stops the busy server until the lease has expired."""
     await front.give_lease(LEASE_MS)
     async with anyio.create_task_group() as tasks:
 
@@ -207,10 +211,10 @@
             while time.monotonic() < front.leases[-1].until_s:
                 await _write(client)
 
-        for _ in range(CALLERS):
+        for _ in range(CALLER_COUNT):
             tasks.start_soon(call)
-        await anyio.sleep(draws.uniform(0.0, LEASE_MS / 1_000))
+        await anyio.sleep(random_source.uniform(0.0, LEASE_MS / 1_000))
         process.signal(signal.SIGSTOP)
-        left_s = front.leases[-1].until_s - time.monotonic()
-        await anyio.sleep(max(left_s, 0.0) + 0.02)
+        remaining_s = front.leases[-1].until_s - time.monotonic()
+        await anyio.sleep(max(remaining_s, 0.0) + 0.02)
         process.signal(signal.SIGCONT)
--- a/libs/bridgecross-standins/tests/test_checker.py
+++ b/libs/bridgecross-standins/tests/test_checker.py
@@ -3,7 +3,7 @@
 from bridgecross_standins import backend_standin
 from bridgecross_standins import checker
 
-RAN = backend_standin.Deed.RAN
+RAN = backend_standin.RequestResult.RAN
 
 
 def _entry(
@@ -11,7 +11,7 @@
 ) -> backend_standin.JournalEntry:
     entry = backend_standin.JournalEntry(
         number=1,
-        deed=RAN,
+        result=RAN,
         began_s=ended_s - 0.01,
         ended_s=ended_s,
         server=server,
@@ -27,19 +27,23 @@
     return entry._replace(**changes)
 
 
-# Effects as (server, token), in the order of their time.
+# Each effect as (server, token), in the order of time, and whether the history
+# is valid.
 HISTORIES = {
     "one owner": ([("a", 2), ("a", 2)], True),
-    "an owner after another": ([("a", 2), ("b", 4), ("b", 4)], True),
-    "the old owner acts on": ([("a", 2), ("b", 4), ("a", 2)], False),
-    "two under one token": ([("a", 2), ("b", 2)], False),
-    "an owner with a new front": ([("a", 2), ("a", 6), ("a", 2)], True),
-    "back to the first under a new token": (
+    "one owner after another": ([("a", 2), ("b", 4), ("b", 4)], True),
+    "the former owner keeps serving": ([("a", 2), ("b", 4), ("a", 2)], False),
+    "two servers under one token": ([("a", 2), ("b", 2)], False),
+    "an owner whose front changed": ([("a", 2), ("a", 6), ("a", 2)], True),
+    "the first owner again under a new token": (
         [("a", 2), ("b", 4), ("a", 6)],
         True,
     ),
-    "the heir acts on": ([("a", 2), ("b", 3), ("a", 6), ("b", 3)], False),
-    "the owner returns under the heir": (
+    "the backup keeps serving": (
+        [("a", 2), ("b", 3), ("a", 6), ("b", 3)],
+        False,
+    ),
+    "the owner serves again after the backup": (
         [("a", 2), ("b", 3), ("a", 2)],
         False,
     ),
@@ -47,14 +51,14 @@
 
 
 @pytest.mark.parametrize(
-    ("history", "is_sound"), HISTORIES.values(), ids=HISTORIES.keys()
+    ("history", "is_valid"), HISTORIES.values(), ids=HISTORIES.keys()
 )
-def test_owners(history, is_sound):
+def test_effects_of_former_owners_are_found(history, is_valid):
     journal = [_entry(s, t, float(i)) for i, (s, t) in enumerate(history)]
-    assert (checker.check_owners(reversed(journal)) == []) is is_sound
+    assert (checker.check_owners(reversed(journal)) == []) is is_valid
 
 
-def test_a_request_that_ran_twice_or_was_denied_is_found():
+def test_a_request_that_ran_twice_or_was_reported_not_run_is_found():
     first = _entry("a", 2, 1.0, idempotency_key="order-1")
     second = _entry("b", 4, 2.0, idempotency_key="order-1")
     assert checker.check_single_runs([first]) == []
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -378,7 +378,7 @@
         self.journal.append(
             backend_standin.JournalEntry(
                 number=len(self.journal),
-                deed=backend_standin.Deed.RAN,
+                result=backend_standin.RequestResult.RAN,
                 began_s=began_s,
                 ended_s=self._clock.wall_s(),
                 server=self.name,
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -16,7 +16,7 @@
 from bridgecross_core import ids
 from bridgecross_standins import balancer
 from bridgecross_standins import checker
-from bridgecross_standins import house_tools
+from bridgecross_standins import cluster_tools
 from bridgecross_standins import log_standin
 from bridgecross_standins import probing
 from bridgecross_standins import processes
@@ -24,7 +24,7 @@
 pytestmark = pytest.mark.anyio
 
 SETTINGS = pathlib.Path(__file__).parents[1] / "settings"
-KARATAS = processes.HouseShape(
+KARATAS = processes.ClusterShape(
     settings_file=SETTINGS / "karatas.jsonc",
     place="anadolu",
     services=(
@@ -36,7 +36,7 @@
     instances=3,
     folder=pathlib.Path(),
 )
-VALDIVIESO = processes.HouseShape(
+VALDIVIESO = processes.ClusterShape(
     settings_file=SETTINGS / "valdivieso.jsonc",
     place="santiago",
     services=(
@@ -54,21 +54,21 @@
 
 
 def _shape(
-    shape: processes.HouseShape, folder: pathlib.Path
-) -> processes.HouseShape:
-    return processes.HouseShape(**{**vars(shape), "folder": folder / "house"})
+    shape: processes.ClusterShape, folder: pathlib.Path
+) -> processes.ClusterShape:
+    return processes.ClusterShape(**{**vars(shape), "folder": folder / "house"})
 
 
 @pytest.fixture(scope="module")
 def karatas(tmp_path_factory):
     folder = tmp_path_factory.mktemp("karatas")
-    with processes.House(_shape(KARATAS, folder)) as house:
-        anyio.run(house_tools.bring_up, house)
-        yield house
+    with processes.Cluster(_shape(KARATAS, folder)) as cluster:
+        anyio.run(cluster_tools.start_cluster, cluster)
+        yield cluster
 
 
-def _run_tool(house: processes.House, *arguments: str):
-    entry = next(iter(house.entries.values()))
+def _run_tool(cluster: processes.Cluster, *arguments: str):
+    entry = next(iter(cluster.entries.values()))
     return subprocess.run(
         [
             sys.executable,
@@ -107,17 +107,17 @@
 
 
 def test_a_request_for_every_service_of_the_other_house(tmp_path):
-    with processes.House(_shape(VALDIVIESO, tmp_path)) as house:
-        anyio.run(house_tools.bring_up, house)
-        entry = house.entries["entry-1"]
-        for service in house.place.services:
+    with processes.Cluster(_shape(VALDIVIESO, tmp_path)) as cluster:
+        anyio.run(cluster_tools.start_cluster, cluster)
+        entry = cluster.entries["entry-1"]
+        for service in cluster.place.services:
             answer = _send(entry, service, "cena", headers=CONCIERGE)
             assert answer.status_code == 200
         first = _post_deposit(entry)
         again = _post_deposit(entry)
         assert first.json()["value"] == 1
         assert again.headers["bridgecross-outcome"] == "unknown"
-        assert not checker.check_single_runs(house.read_journals())
+        assert not checker.check_single_runs(cluster.read_journals())
 
 
 def _post_deposit(entry: processes.Entry) -> httpx.Response:
@@ -227,17 +227,20 @@
 
 
 async def test_a_planned_stop_cuts_off_nothing(tmp_path):
-    with processes.House(_shape(KARATAS, tmp_path)) as house:
-        await house_tools.bring_up(house)
+    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+        await cluster_tools.start_cluster(cluster)
         probes = await _load(
-            house, "rapor", "PUT", house.entries["entry-2"].process.terminate
+            cluster,
+            "rapor",
+            "PUT",
+            cluster.entries["entry-2"].process.terminate,
         )
         code = await anyio.to_thread.run_sync(
-            house.entries["entry-2"].process.wait
+            cluster.entries["entry-2"].process.wait
         )
         assert code == 0
         assert [p for p in probes if p.outcome != "answered"] == []
-        assert not checker.check_owners(house.read_journals())
+        assert not checker.check_owners(cluster.read_journals())
 
 
 @pytest.mark.parametrize(
@@ -251,16 +254,16 @@
 async def test_keys_of_a_lost_server_are_served_again(
     tmp_path, service, number
 ):
-    with processes.House(_shape(KARATAS, tmp_path)) as house:
-        await house_tools.bring_up(house)
-        keys = await _find_keys(house, service, f"{service}-1")
-        server = house.servers[f"{service}-1"].process
+    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+        await cluster_tools.start_cluster(cluster)
+        keys = await _find_keys(cluster, service, f"{service}-1")
+        server = cluster.servers[f"{service}-1"].process
         probes = await _load(
-            house, service, "PUT", lambda: server.signal(number), keys
+            cluster, service, "PUT", lambda: server.signal(number), keys
         )
         server.signal(signal.SIGCONT)
         await anyio.sleep(1.0)
-        _check_truth(house, probes)
+        _check_truth(cluster, probes)
         assert {p.key for p in probes[-len(keys) :]} == set(keys)
         assert all(p.outcome == "answered" for p in probes[-len(keys) :])
 
@@ -270,34 +273,34 @@
 async def test_keys_are_served_again_after_the_loss_of_an_instance(
     tmp_path, number, is_coordinator
 ):
-    with processes.House(_shape(KARATAS, tmp_path)) as house:
-        await house_tools.bring_up(house)
-        cell = await house_tools.read_cell(house, ids.ServiceName("rapor"))
+    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+        await cluster_tools.start_cluster(cluster)
+        cell = await cluster_tools.read_cell(cluster, ids.ServiceName("rapor"))
         lost = next(
             name
-            for name in house.entries
+            for name in cluster.entries
             if (name == cell.coordinator) == is_coordinator
         )
-        process = house.entries[lost].process
+        process = cluster.entries[lost].process
         probes = await _load(
-            house, "rapor", "PUT", lambda: process.signal(number), (), lost
+            cluster, "rapor", "PUT", lambda: process.signal(number), (), lost
         )
         process.signal(signal.SIGCONT)
         await anyio.sleep(1.0)
-        _check_truth(house, probes)
+        _check_truth(cluster, probes)
         assert all(p.outcome == "answered" for p in probes[-40:])
 
 
 async def test_an_acknowledgement_that_is_lost_does_not_double(tmp_path):
-    with processes.House(_shape(KARATAS, tmp_path)) as house:
-        await house_tools.bring_up(house)
-        house.set_faults(
-            house.log_url, log_standin.LogFaults(lose_acknowledgements=3)
+    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+        await cluster_tools.start_cluster(cluster)
+        cluster.set_faults(
+            cluster.log_url, log_standin.LogFaults(lose_acknowledgements=3)
         )
         answers = [
             await anyio.to_thread.run_sync(
                 lambda i=i: _send(
-                    house.entries["entry-1"],
+                    cluster.entries["entry-1"],
                     "kapama",
                     f"kopru-{i}",
                     method="POST",
@@ -307,15 +310,15 @@
             for i in range(6)
         ]
         assert all(a.status_code == 200 for a in answers)
-        journal = house.read_journals()
+        journal = cluster.read_journals()
         assert not checker.check_single_runs(journal)
-        assert len(checker.list_ran(journal)) == 6
+        assert len(checker.list_executed(journal)) == 6
 
 
 async def _find_keys(
-    house: processes.House, service: str, server: str
+    cluster: processes.Cluster, service: str, server: str
 ) -> tuple[str, ...]:
-    cell = await house_tools.read_cell(house, ids.ServiceName(service))
+    cell = await cluster_tools.read_cell(cluster, ids.ServiceName(service))
     keys = (f"key-{i}" for i in range(200))
     return tuple(
         key
@@ -326,7 +329,7 @@
 
 
 async def _load(
-    house: processes.House,
+    cluster: processes.Cluster,
     service: str,
     method: str,
     fault,
@@ -337,7 +340,7 @@
     chooser = balancer.Balancer(
         {
             e.caller_url: e.admin_url
-            for e in house.entries.values()
+            for e in cluster.entries.values()
             if e.name != avoid
         }
     )
@@ -361,23 +364,23 @@
             prober.stop()
         tasks.cancel_scope.cancel()
     probes = sorted(prober.probes, key=lambda probe: probe.sent_s)
-    await _keep_record(house, probes, chooser)
+    await _keep_record(cluster, probes, chooser)
     return probes
 
 
 async def _keep_record(
-    house: processes.House,
+    cluster: processes.Cluster,
     probes: list[probing.Probe],
     chooser: balancer.Balancer,
 ) -> None:
     """Writes what all saw, for a test that fails."""
     records = {
-        "timeline": await house_tools.read_timeline(house),
+        "timeline": await cluster_tools.read_timeline(cluster),
         "callers": [p for p in probes if p.outcome != "answered"],
-        "balancer": chooser.looks,
+        "balancer": chooser.changed_checks,
     }
     for name, lines in records.items():
-        path = house.shape.folder / f"{name}.journal"
+        path = cluster.shape.folder / f"{name}.journal"
         text = "".join(f"{codec.to_json(line)}\n" for line in lines)
         path.write_text(text, encoding="utf-8")
 
@@ -393,8 +396,10 @@
                 return
 
 
-def _check_truth(house: processes.House, probes: list[probing.Probe]) -> None:
-    journal = house.read_journals()
+def _check_truth(
+    cluster: processes.Cluster, probes: list[probing.Probe]
+) -> None:
+    journal = cluster.read_journals()
     not_run = [p.request_id for p in probes if p.outcome == "not-run"]
     assert not checker.check_owners(journal)
     assert not checker.check_not_run(journal, not_run)
