--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,4 @@
-"""Whole houses as separate processes over loopback."""
+"""Tests of clusters of real processes that communicate over loopback."""
 
 import pathlib
 import signal
@@ -50,10 +50,10 @@
 )
 INSPECTOR = {"Authorization": "Bearer demir-secret"}
 CONCIERGE = {"Authorization": "Bearer plaza-secret"}
-PATIENCE_S = 20.0
+RECOVERY_TIMEOUT_S = 20.0
 
 
-def _shape(
+def _set_folder(
     shape: processes.ClusterShape, folder: pathlib.Path
 ) -> processes.ClusterShape:
     return processes.ClusterShape(**{**vars(shape), "folder": folder / "house"})
@@ -62,7 +62,7 @@
 @pytest.fixture(scope="module")
 def karatas(tmp_path_factory):
     folder = tmp_path_factory.mktemp("karatas")
-    with processes.Cluster(_shape(KARATAS, folder)) as cluster:
+    with processes.Cluster(_set_folder(KARATAS, folder)) as cluster:
         anyio.run(cluster_tools.start_cluster, cluster)
         yield cluster
 
@@ -106,17 +106,17 @@
         assert answer.json()["key"] == f"kopru-{number}"
 
 
-def test_a_request_for_every_service_of_the_other_house(tmp_path):
-    with processes.Cluster(_shape(VALDIVIESO, tmp_path)) as cluster:
+def test_requests_for_every_service_of_the_second_sample_house(tmp_path):
+    with processes.Cluster(_set_folder(VALDIVIESO, tmp_path)) as cluster:
         anyio.run(cluster_tools.start_cluster, cluster)
         entry = cluster.entries["entry-1"]
         for service in cluster.place.services:
             answer = _send(entry, service, "cena", headers=CONCIERGE)
             assert answer.status_code == 200
-        first = _post_deposit(entry)
-        again = _post_deposit(entry)
-        assert first.json()["value"] == 1
-        assert again.headers["bridgecross-outcome"] == "unknown"
+        first_answer = _post_deposit(entry)
+        repeated_answer = _post_deposit(entry)
+        assert first_answer.json()["value"] == 1
+        assert repeated_answer.headers["bridgecross-outcome"] == "unknown"
         assert not checker.check_single_runs(cluster.read_journals())
 
 
@@ -138,7 +138,7 @@
         "GET",
         401,
     ),
-    "no place in a tier": (
+    "caller not in a tier": (
         {"Authorization": "Bearer yapi-secret"},
         "kapama",
         "GET",
@@ -160,7 +160,7 @@
     REFUSALS.values(),
     ids=REFUSALS.keys(),
 )
-def test_refusals_say_why(karatas, headers, service, method, status):
+def test_refusals_state_the_reason(karatas, headers, service, method, status):
     entry = karatas.entries["entry-1"]
     answer = _send(entry, service, "k", headers=headers, method=method)
     assert answer.status_code == status
@@ -186,7 +186,7 @@
     assert "bridgecross_request_seconds_bucket" in text
 
 
-def test_the_tool_tells_owner_status_and_time_line(karatas, tmp_path):
+def test_the_tool_shows_owner_status_and_timeline(karatas, tmp_path):
     owner = _run_tool(karatas, "owner", "rapor", "kopru-1")
     assert owner.returncode == 0
     assert owner.stdout.count("is owned by rapor-") == 3
@@ -194,8 +194,8 @@
     assert status.returncode == 0
     assert len(codec.from_json(status.stdout, list[dict[str, object]])) == 3
     page = tmp_path / "timeline.html"
-    drawn = _run_tool(karatas, "timeline", "--html", str(page))
-    assert drawn.returncode == 0
+    rendered = _run_tool(karatas, "timeline", "--html", str(page))
+    assert rendered.returncode == 0
     text = page.read_text(encoding="utf-8")
     assert "entry-3" in text
     assert "SlicesMoved" not in text
@@ -204,7 +204,7 @@
     assert missing.returncode == 1
 
 
-def test_the_second_of_two_operators_is_told_what_clashes(karatas, tmp_path):
+def test_the_second_of_two_operators_is_shown_the_conflict(karatas, tmp_path):
     shown = _run_tool(karatas, "settings", "show")
     base = shown.stdout.split()[2].rstrip(":")
     first = tmp_path / "first.jsonc"
@@ -226,10 +226,10 @@
     assert "slots_per_server               5" in effective.stdout
 
 
-async def test_a_planned_stop_cuts_off_nothing(tmp_path):
-    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+async def test_a_graceful_stop_interrupts_no_request(tmp_path):
+    with processes.Cluster(_set_folder(KARATAS, tmp_path)) as cluster:
         await cluster_tools.start_cluster(cluster)
-        probes = await _load(
+        probes = await _run_load(
             cluster,
             "rapor",
             "PUT",
@@ -254,16 +254,16 @@
 async def test_keys_of_a_lost_server_are_served_again(
     tmp_path, service, number
 ):
-    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+    with processes.Cluster(_set_folder(KARATAS, tmp_path)) as cluster:
         await cluster_tools.start_cluster(cluster)
         keys = await _find_keys(cluster, service, f"{service}-1")
         server = cluster.servers[f"{service}-1"].process
-        probes = await _load(
+        probes = await _run_load(
             cluster, service, "PUT", lambda: server.signal(number), keys
         )
         server.signal(signal.SIGCONT)
         await anyio.sleep(1.0)
-        _check_truth(cluster, probes)
+        _check_journals(cluster, probes)
         assert {p.key for p in probes[-len(keys) :]} == set(keys)
         assert all(p.outcome == "answered" for p in probes[-len(keys) :])
 
@@ -273,7 +273,7 @@
 async def test_keys_are_served_again_after_the_loss_of_an_instance(
     tmp_path, number, is_coordinator
 ):
-    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+    with processes.Cluster(_set_folder(KARATAS, tmp_path)) as cluster:
         await cluster_tools.start_cluster(cluster)
         cell = await cluster_tools.read_cell(cluster, ids.ServiceName("rapor"))
         lost = next(
@@ -282,17 +282,17 @@
             if (name == cell.coordinator) == is_coordinator
         )
         process = cluster.entries[lost].process
-        probes = await _load(
+        probes = await _run_load(
             cluster, "rapor", "PUT", lambda: process.signal(number), (), lost
         )
         process.signal(signal.SIGCONT)
         await anyio.sleep(1.0)
-        _check_truth(cluster, probes)
+        _check_journals(cluster, probes)
         assert all(p.outcome == "answered" for p in probes[-40:])
 
 
-async def test_an_acknowledgement_that_is_lost_does_not_double(tmp_path):
-    with processes.Cluster(_shape(KARATAS, tmp_path)) as cluster:
+async def test_a_lost_acknowledgement_causes_no_second_run(tmp_path):
+    with processes.Cluster(_set_folder(KARATAS, tmp_path)) as cluster:
         await cluster_tools.start_cluster(cluster)
         cluster.set_faults(
             cluster.log_url, log_standin.LogFaults(lose_acknowledgements=3)
@@ -328,7 +328,7 @@
     )[:10]
 
 
-async def _load(
+async def _run_load(
     cluster: processes.Cluster,
     service: str,
     method: str,
@@ -336,8 +336,8 @@
     keys: tuple[str, ...] = (),
     avoid: str = "",
 ) -> list[probing.Probe]:
-    """Sends requests, causes a fault, and goes on until all is well again."""
-    chooser = balancer.Balancer(
+    """Sends requests, causes a fault, and continues until recovery."""
+    load_balancer = balancer.Balancer(
         {
             e.caller_url: e.admin_url
             for e in cluster.entries.values()
@@ -352,9 +352,9 @@
         deadline_ms=3_000,
         method=method,
     )
-    prober = probing.Prober(settings, chooser.choose)
+    prober = probing.Prober(settings, load_balancer.choose)
     async with anyio.create_task_group() as tasks:
-        await tasks.start(chooser.run)
+        await tasks.start(load_balancer.run)
         async with anyio.create_task_group() as load:
             load.start_soon(prober.run)
             await anyio.sleep(1.0)
@@ -364,20 +364,20 @@
             prober.stop()
         tasks.cancel_scope.cancel()
     probes = sorted(prober.probes, key=lambda probe: probe.sent_s)
-    await _keep_record(cluster, probes, chooser)
+    await _write_records(cluster, probes, load_balancer)
     return probes
 
 
-async def _keep_record(
+async def _write_records(
     cluster: processes.Cluster,
     probes: list[probing.Probe],
-    chooser: balancer.Balancer,
+    load_balancer: balancer.Balancer,
 ) -> None:
-    """Writes what all saw, for a test that fails."""
+    """Writes events and unanswered requests, to diagnose failed tests."""
     records = {
         "timeline": await cluster_tools.read_timeline(cluster),
         "callers": [p for p in probes if p.outcome != "answered"],
-        "balancer": chooser.changed_checks,
+        "balancer": load_balancer.changed_checks,
     }
     for name, lines in records.items():
         path = cluster.shape.folder / f"{name}.journal"
@@ -386,17 +386,17 @@
 
 
 async def _await_recovery(prober: probing.Prober) -> None:
-    """Waits until requests of the last two seconds were all answered."""
-    with anyio.move_on_after(PATIENCE_S):
+    """Waits until all requests of at least two seconds were answered."""
+    with anyio.move_on_after(RECOVERY_TIMEOUT_S):
         while True:
-            seen = len(prober.probes)
+            old_count = len(prober.probes)
             await anyio.sleep(2.5)
-            newest = prober.probes[seen:]
+            newest = prober.probes[old_count:]
             if newest and all(p.outcome == "answered" for p in newest):
                 return
 
 
-def _check_truth(
+def _check_journals(
     cluster: processes.Cluster, probes: list[probing.Probe]
 ) -> None:
     journal = cluster.read_journals()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: what it may hold, and what it passes over."""
+"""Tests of the list of known failures: its format and its effect on tests."""
 
 import importlib.util
 import pathlib
@@ -19,7 +19,7 @@
 LINE = "a/test_b.py::test_c | cause | issue 1"
 
 
-def test_a_line_names_test_cause_and_issue():
+def test_a_line_states_test_cause_and_issue():
     known = conftest.parse_known_failures(LINE + "\n\n")
     assert known == {
         "a/test_b.py::test_c": conftest.KnownFailure(
@@ -52,7 +52,7 @@
 
 
 def _mark(monkeypatch, line: str) -> list[pytest.MarkDecorator]:
-    """Returns what the listed test is marked with."""
+    """Returns the markers that a listed test gets."""
     known = conftest.parse_known_failures(line)
     monkeypatch.setattr(conftest, "_load_known_failures", lambda: known)
     item = Item()
@@ -60,7 +60,7 @@
     return item.markers
 
 
-def test_a_listed_test_that_passes_is_told(monkeypatch):
+def test_a_listed_test_that_passes_is_reported(monkeypatch):
     (marker,) = _mark(monkeypatch, LINE)
     assert marker.mark.name == "xfail"
     assert marker.mark.kwargs["strict"]
@@ -77,12 +77,14 @@
     (folder / "entry-1.log").write_text("".join(f"{n}\n" for n in range(99)))
     (folder / "a.journal").write_text("run\n")
     (folder / "settings.json").write_text("{}")
-    into = tmp_path / "kept"
-    told = conftest.copy_logs("a/b.py::test[x]", [tmp_path / "house"], into)
-    names = {path.name for path in into.rglob("*.*") if path.is_file()}
+    destination = tmp_path / "kept"
+    report = conftest.copy_logs(
+        "a/b.py::test[x]", [tmp_path / "house"], destination
+    )
+    names = {path.name for path in destination.rglob("*.*") if path.is_file()}
     assert names == {"1-entry-1.log", "1-a.journal"}
-    assert "\n98\n" in told
-    assert "\n10\n" not in told
+    assert "\n98\n" in report
+    assert "\n10\n" not in report
 
 
 def test_a_test_without_logs_keeps_nothing(tmp_path):
