--- a/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
+++ b/libs/bridgecross-daemon/src/bridgecross_daemon/peer_client.py
@@ -75,7 +75,7 @@
             ) from error
         except codec.CodecError as error:
             raise peer_protocol.PeerUnreachableError(
-                f"invalid reply: {error}", never_sent=False
+                f"damaged reply: {error}", never_sent=False
             ) from error
 
     async def aclose(self) -> None:
