--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -19,7 +19,7 @@
 from bridgecross_entry import dispatch
 from bridgecross_entry import servers
 from tests.load import loads
-from tests.load import scene
+from tests.load import simulation
 
 _UNLIMITED = 1_000
 
@@ -41,13 +41,13 @@
 class House:
     """The servers and callers of one kind of house."""
 
-    servers: tuple[scene.ServerKind, ...]
-    callers: tuple[scene.CallerKind, ...]
+    servers: tuple[simulation.ServerKind, ...]
+    callers: tuple[simulation.CallerKind, ...]
     instance_count: int
 
 
 def _make_house(
-    kinds: tuple[scene.CallerKind, ...],
+    kinds: tuple[simulation.CallerKind, ...],
     instance_count: int,
     slots: int,
     on_full: str,
@@ -65,7 +65,7 @@
     target_ratio: float,
     patience_ratio: float,
     late_value_ratio: float,
-) -> tuple[scene.CallerKind, ...]:
+) -> tuple[simulation.CallerKind, ...]:
     """Returns callers with other rates, times and values of late answers.
 
     Args:
@@ -82,7 +82,7 @@
             target_s=kind.target_s * target_ratio,
             patience_s=kind.patience_s * patience_ratio,
             timeout_s=kind.timeout_s * patience_ratio,
-            late_worth=kind.worth * late_value_ratio,
+            late_value=kind.value * late_value_ratio,
         )
         for kind in (loads.READ, loads.BID, loads.SETTLE)
     )
@@ -117,18 +117,20 @@
     house_name, load_name, variant, seed = job
     house = HOUSES[house_name]
     server_changes, dispatch_changes = VARIANTS[variant]
-    load = scene.Load(
+    load = simulation.Load(
         house.servers,
         house.callers,
         instance_count=house.instance_count,
         seed=seed,
-        judging=dataclasses.replace(servers.ServerSettings(), **server_changes),
-        trying=dataclasses.replace(
+        server_settings=dataclasses.replace(
+            servers.ServerSettings(), **server_changes
+        ),
+        dispatch_settings=dataclasses.replace(
             dispatch.DispatchSettings(), **dispatch_changes
         ),
         **LOADS[load_name],
     )
-    return scene.play(load).total.ratio
+    return simulation.run(load).total.ratio
 
 
 def main(arguments: list[str] | None = None) -> int:
--- a/tests/load/scene.py
+++ b/tests/load/simulation.py
@@ -1,10 +1,11 @@
-"""A house under load in virtual time: callers, real dispatchers, servers.
-
-The dispatchers and the list of servers are the real ones; what speaks over a
-network is not. Callers come at random moments, repeat what was refused and
-leave when their time is over; servers have slots, a short queue and one of the
-ways in which real ones deal with what does not fit. Every source of chance has
-a generator of its own, so that a run is the same each time.
+"""Simulates a cluster under load in virtual time.
+
+The dispatchers, the server registries and the permit issuers are the real ones;
+the network, the callers and the backend servers are simulated. Requests arrive
+at random times; callers retry refused requests until their patience runs out.
+Servers have slots, a short queue and one of the ways in which real servers
+treat requests that exceed both. Each source of randomness has its own
+generator, so that runs are reproducible.
 """
 
 import collections
@@ -37,34 +38,35 @@
 _LINK_S = 0.0005
 _CALLER_LINK_S = 0.008
 _CONNECT_TIMEOUT_S = 1.0
-_REPEAT_PAUSE_S = 0.02
+_RETRY_PAUSE_S = 0.02
 _FIRST_CALLER_ERROR = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerKind:
-    """The backend servers of a service."""
+    """The backend servers of one service."""
 
     name: str
-    # How fast each server works; 1.0 is the mean.
+    # The relative speed of each server; 1.0 is the mean.
     speeds: tuple[float, ...]
     slots: int = 6
-    # Requests that wait beyond those in slots.
+    # The capacity of the queue, in addition to the slots.
     queue_count: int = 24
-    # What becomes of others: "shed", "reset" or "silent".
+    # How requests beyond the queue are treated: "shed", "reset" or "silent".
     on_full: str = "silent"
     keyed: bool = False
-    # The part of the time in which work takes so many times as long, in spells
-    # of so many seconds; servers say so in their answers.
+    # The share of the time in which the server is slower, by which factor, and
+    # the length of each such period; servers report the factor in their answers
+    # if ``reports_pace`` is set.
     noise_share: float = 0.0
     noise_ratio: float = 1.0
-    noise_spell_s: float = 0.4
-    tells_pace: bool = True
+    noise_period_s: float = 0.4
+    reports_pace: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerKind:
-    """Requests of one kind."""
+    """Callers of one route, with the same times and values."""
 
     name: str
     service: str
@@ -75,103 +77,110 @@
     timeout_s: float
     idempotent: bool
     priority: int
-    worth: float
-    late_worth: float
+    value: float
+    late_value: float
     retries: int = 2
-    # The part of its requests that is for one key; the rest is spread.
-    hot_share: float = 0.0
+    # The share of requests for the hot key; the other keys are random.
+    hot_key_share: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a run is about."""
+    """The parameters of a simulation."""
 
     servers: tuple[ServerKind, ...]
     callers: tuple[CallerKind, ...]
     instance_count: int = 12
-    # Whether instances ask one of their failure domain for permits, however
-    # few they are; None leaves that to their number.
+    # Whether instances request permits from an issuer in their failure domain
+    # regardless of the number of instances; None decides by that number.
     with_permits: bool | None = None
-    # From when to when those that give out permits stand still.
+    # The start and end of the time in which permit issuers do not answer.
     issuers_frozen_s: tuple[float, float] = (math.inf, math.inf)
     length_s: float = 8.0
     seed: int = 1
-    # From when to when no instance answers.
+    # The start and end of the outage of all instances.
     outage_s: tuple[float, float] = (math.inf, math.inf)
-    # From when to when more callers come, and how many times as many.
+    # The start and end of the surge, and the factor of the request rate.
     surge_s: tuple[float, float] = (math.inf, math.inf)
     surge_ratio: float = 1.0
-    # From when to when one key is hot.
-    hot_s: tuple[float, float] = (math.inf, math.inf)
-    # How instances judge servers, and try requests.
-    judging: servers.ServerSettings = dataclasses.field(
+    # The start and end of the time in which one key is hot.
+    hot_key_s: tuple[float, float] = (math.inf, math.inf)
+    # The settings of the instances.
+    server_settings: servers.ServerSettings = dataclasses.field(
         default_factory=servers.ServerSettings
     )
-    permits: permit_client.PermitSettings = dataclasses.field(
+    permit_settings: permit_client.PermitSettings = dataclasses.field(
         default_factory=permit_client.PermitSettings
     )
-    trying: dispatch.DispatchSettings = dataclasses.field(
+    dispatch_settings: dispatch.DispatchSettings = dataclasses.field(
         default_factory=dispatch.DispatchSettings
     )
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """What became of the requests that first came in some time."""
+class Totals:
+    """The results of a group of requests."""
 
-    owed: float = 0.0
-    earned: float = 0.0
+    attainable_value: float = 0.0
+    achieved_value: float = 0.0
     in_time: int = 0
     late: int = 0
     unserved: int = 0
 
     @property
     def ratio(self) -> float:
-        """The part of the worth that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        """The achieved share of the attainable value."""
+        return (
+            self.achieved_value / self.attainable_value
+            if self.attainable_value
+            else 1.0
+        )
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a run came to."""
+    """The results of a simulation."""
 
-    total: Tally = dataclasses.field(default_factory=Tally)
-    kinds: dict[str, Tally] = dataclasses.field(default_factory=dict)
-    # By the second in which a request first came.
-    seconds: dict[int, Tally] = dataclasses.field(default_factory=dict)
-    # Times for which requests were held that were then refused.
+    total: Totals = dataclasses.field(default_factory=Totals)
+    kinds: dict[str, Totals] = dataclasses.field(default_factory=dict)
+    # By the second in which the first attempt was sent.
+    seconds: dict[int, Totals] = dataclasses.field(default_factory=dict)
+    # How long refused requests waited before the refusal.
     held_s: list[float] = dataclasses.field(default_factory=list)
     attempts_count: int = 0
-    statuses: collections.Counter[str] = dataclasses.field(
+    outcome_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    # Requests that servers dropped without a word.
+    # Requests that servers dropped because their queues were full.
     dropped_count: int = 0
-    # Asks for permits and returns of them.
+    # Messages that request or return permits.
     permit_messages_count: int = 0
 
-    def note(
-        self, kind: CallerKind, came_s: float, worth: float, outcome: str
+    def record(
+        self, kind: CallerKind, first_sent_s: float, value: float, outcome: str
     ) -> None:
-        """Counts what became of one caller's request."""
-        tallies = (
+        """Counts the result of one caller's request."""
+        groups = (
             self.total,
-            self.kinds.setdefault(kind.name, Tally()),
-            self.seconds.setdefault(int(came_s), Tally()),
+            self.kinds.setdefault(kind.name, Totals()),
+            self.seconds.setdefault(int(first_sent_s), Totals()),
         )
-        for tally in tallies:
-            tally.owed += kind.worth
-            tally.earned += worth
-            setattr(tally, outcome, getattr(tally, outcome) + 1)
+        for totals in groups:
+            totals.attainable_value += kind.value
+            totals.achieved_value += value
+            setattr(totals, outcome, getattr(totals, outcome) + 1)
 
 
 class SimulatedServer:
-    """One backend server: slots, then a queue in order of arrival."""
+    """A backend server with slots and a FIFO queue."""
 
     def __init__(
-        self, listed: model.BackendServer, kind: ServerKind, speed: float
+        self,
+        backend_server: model.BackendServer,
+        kind: ServerKind,
+        speed: float,
     ) -> None:
-        self.listed = listed
+        self.backend_server = backend_server
         self.speed = speed
         self.busy = 0
         self.dropped_count = 0
@@ -179,24 +188,24 @@
         self._waiting: collections.deque[anyio.Event] = collections.deque()
 
     async def run(self, work_s: float) -> attempts.Attempt:
-        """Runs a request; cancelling it frees its place."""
+        """Runs a request; cancelling it frees its slot or queue place."""
         if self.busy >= self._kind.slots:
             if len(self._waiting) >= self._kind.queue_count:
-                return await self._turn_away()
+                return await self._reject()
             await self._wait()
         else:
             self.busy += 1
         try:
             await anyio.sleep(work_s * self._pace_ratio() / self.speed)
         finally:
-            self._free()
-        told = self._pace_ratio() if self._kind.tells_pace else None
-        return outcomes.Answered(200, (), b"", told)
+            self._release()
+        reported_pace = self._pace_ratio() if self._kind.reports_pace else None
+        return outcomes.Answered(200, (), b"", reported_pace)
 
     def _pace_ratio(self) -> float:
-        """Returns how many times as long as usual work takes."""
-        spell = int(anyio.current_time() / self._kind.noise_spell_s)
-        name = f"{self.listed.server_id} {spell}"
+        """Returns the factor by which work takes longer than usual."""
+        period = int(anyio.current_time() / self._kind.noise_period_s)
+        name = f"{self.backend_server.server_id} {period}"
         is_noisy = random.Random(name).random() < self._kind.noise_share
         return self._kind.noise_ratio if is_noisy else 1.0
 
@@ -207,18 +216,18 @@
             await turn.wait()
         except BaseException:
             if turn.is_set():
-                self._free()
+                self._release()
             else:
                 self._waiting.remove(turn)
             raise
 
-    def _free(self) -> None:
+    def _release(self) -> None:
         if self._waiting:
             self._waiting.popleft().set()
         else:
             self.busy -= 1
 
-    async def _turn_away(self) -> attempts.Attempt:
+    async def _reject(self) -> attempts.Attempt:
         self.dropped_count += 1
         if self._kind.on_full == "shed":
             return attempts.Shed(503)
@@ -229,16 +238,16 @@
 
 
 class _Client:
-    """An ``attempts.BackendClient`` over a link with a delay."""
+    """An ``attempts.BackendClient`` with network latency."""
 
-    def __init__(self, scene: "Scene") -> None:
-        self._scene = scene
+    def __init__(self, cluster: "Cluster") -> None:
+        self._cluster = cluster
 
     async def send(self, server, request, remaining_ms, may_send):
         if not may_send():
             return attempts.Withheld()
         await anyio.sleep(_LINK_S)
-        simulated = self._scene.servers[server.server_id]
+        simulated = self._cluster.servers[server.server_id]
         work_s = float(request.headers[0].value)
         answer = await simulated.run(work_s)
         await anyio.sleep(_LINK_S)
@@ -255,21 +264,21 @@
 
 
 class _PeerLink:
-    """An ``exchange.Exchanger`` to another instance, for permits only."""
+    """An ``exchange.Exchanger`` to a permit issuer."""
 
-    def __init__(self, scene: "Scene", address: model.Address) -> None:
-        self._scene = scene
+    def __init__(self, cluster: "Cluster", address: model.Address) -> None:
+        self._cluster = cluster
         self._address = address
 
     async def exchange(self, request, accepts):
-        del accepts  # Nothing else is on the way.
+        del accepts  # Permit messages are the only ones sent.
         await anyio.sleep(_LINK_S)
-        issuer = self._scene.issuers[self._address]
-        if _holds(self._scene.load.issuers_frozen_s, self._scene.now_s):
+        issuer = self._cluster.issuers[self._address]
+        if _is_within(self._cluster.load.issuers_frozen_s, self._cluster.now_s):
             await anyio.sleep_forever()
         body = request.partition(b"\r\n\r\n")[2]
         message = permits.MESSAGES.decode(body)
-        self._scene.report.permit_messages_count += 1
+        self._cluster.report.permit_messages_count += 1
         answer = b""
         if message.returned is not None:
             issuer.handle_return(message.returned)
@@ -281,8 +290,8 @@
         return exchange.Reply(200, (), answer)
 
 
-class Scene:
-    """A house while it runs."""
+class Cluster:
+    """The instances, servers and callers of one simulation."""
 
     def __init__(self, load: Load, environment: simpy.Environment) -> None:
         loguru.logger.remove()
@@ -302,9 +311,9 @@
         self.start_instances()
 
     def _add_servers(self, kind: ServerKind) -> None:
-        listed_servers = []
+        backend_servers = []
         for number, speed in enumerate(kind.speeds):
-            listed = model.BackendServer(
+            backend_server = model.BackendServer(
                 ids.ServerId(f"{kind.name}-{number}"),
                 ids.ServiceName(kind.name),
                 model.Address("127.0.0.1", 1),
@@ -315,11 +324,11 @@
                 f"{kind.name}-{number}",
                 None,
             )
-            self.servers[listed.server_id] = SimulatedServer(
-                listed, kind, speed
+            self.servers[backend_server.server_id] = SimulatedServer(
+                backend_server, kind, speed
             )
-            listed_servers.append(listed)
-        self._services[kind.name] = listed_servers
+            backend_servers.append(backend_server)
+        self._services[kind.name] = backend_servers
 
     @property
     def now_s(self) -> float:
@@ -329,15 +338,17 @@
     # Instances.
 
     def start_instances(self) -> None:
-        """Starts instances that know nothing yet but lists and settings."""
+        """Starts instances that have only server lists and settings."""
         settings = [
             clusters.make_settings(n) for n in range(self.load.instance_count)
         ]
         domains: dict[str, list[model.Address]] = {}
         for each in settings:
-            at = domains.setdefault(each.failure_domain, [])
-            at.append(each.peer_address)
-        self._domains = {name: tuple(at) for name, at in domains.items()}
+            addresses = domains.setdefault(each.failure_domain, [])
+            addresses.append(each.peer_address)
+        self._domains = {
+            name: tuple(addresses) for name, addresses in domains.items()
+        }
         self._clients.clear()
         self.instances = [
             self._make_instance(number)
@@ -352,18 +363,18 @@
         )
         instance = clusters.make_settings(number)
         registry = servers.ServerRegistry(
-            self.load.judging, instance.bounds, journal, self._clock
+            self.load.server_settings, instance.bounds, journal, self._clock
         )
-        for listed_servers in self._services.values():
-            for listed in listed_servers:
-                registry.put(listed)
+        for backend_servers in self._services.values():
+            for backend_server in backend_servers:
+                registry.put(backend_server)
         registry.set_instances(self.load.instance_count)
         table = keymap.KeyTable(journal)
         for kind in self.load.servers:
             if kind.keyed:
                 table.put(self._make_map(kind), "test")
         dispatcher = dispatch.Dispatcher(
-            self.load.trying,
+            self.load.dispatch_settings,
             instance,
             registry,
             table,
@@ -395,7 +406,7 @@
             self._clock,
         )
         self.issuers[instance.peer_address] = issuer
-        settings = self.load.permits
+        settings = self.load.permit_settings
         if self.load.with_permits:
             settings = dataclasses.replace(settings, min_slot_share=math.inf)
         client = permit_client.PermitClient(
@@ -425,14 +436,14 @@
                 issuer.sweep()
 
     def _make_map(self, kind: ServerKind) -> keymap.KeyMap:
-        """Returns a map that divides the keys by the servers' speeds."""
+        """Returns a map whose key ranges are proportional to server speeds."""
         total = sum(kind.speeds)
         ranges = []
         first_key = 0
-        done = 0.0
+        speed_sum = 0.0
         for number, speed in enumerate(kind.speeds):
-            done += speed
-            last_key = round(done / total * (keymap.LAST_KEY + 1)) - 1
+            speed_sum += speed
+            last_key = round(speed_sum / total * (keymap.LAST_KEY + 1)) - 1
             owner = ids.ServerId(f"{kind.name}-{number}")
             ranges.append(keymap.KeyRange(first_key, last_key, owner, 1))
             first_key = last_key + 1
@@ -471,7 +482,7 @@
     # Callers.
 
     async def run(self) -> Report:
-        """Runs until the last caller has left."""
+        """Runs until the last caller has finished."""
         async with anyio.create_task_group() as background:
             self._background = background
             self._start_permits(background)
@@ -486,17 +497,17 @@
     async def _run_callers(self) -> None:
         async with anyio.create_task_group() as tasks:
             if math.isfinite(self.load.outage_s[1]):
-                tasks.start_soon(self._lose_instances)
+                tasks.start_soon(self._restart_instances)
             for number, kind in enumerate(self.load.callers):
                 rng = random.Random(self.load.seed * 100 + number)
-                tasks.start_soon(self._send_callers, kind, rng, tasks)
+                tasks.start_soon(self._start_callers, kind, rng, tasks)
 
-    async def _lose_instances(self) -> None:
+    async def _restart_instances(self) -> None:
         await anyio.sleep(self.load.outage_s[1] - 1e-6)
         self.start_instances()
         self._start_permits(self._background)
 
-    async def _send_callers(
+    async def _start_callers(
         self,
         kind: CallerKind,
         rng: random.Random,
@@ -506,7 +517,7 @@
         while True:
             now_s = self._clock.monotonic_s()
             rate_per_s = kind.rate_per_s
-            if _holds(self.load.surge_s, now_s):
+            if _is_within(self.load.surge_s, now_s):
                 rate_per_s *= self.load.surge_ratio
             await anyio.sleep(rng.expovariate(rate_per_s))
             if self._clock.monotonic_s() >= self.load.length_s:
@@ -517,18 +528,18 @@
                 6 * kind.work_s,
             )
             key = rng.randrange(keymap.LAST_KEY + 1)
-            hot = _holds(self.load.hot_s, self._clock.monotonic_s())
-            if hot and rng.random() < kind.hot_share:
+            is_hot = _is_within(self.load.hot_key_s, self._clock.monotonic_s())
+            if is_hot and rng.random() < kind.hot_key_share:
                 key = 26_851
-            # Callers are spread unevenly over instances.
+            # Callers are distributed unevenly over instances.
             weights = [1.0 + n % 3 for n in range(len(self.instances))]
             order = rng.choices(
                 range(len(self.instances)), weights, k=kind.retries + 1
             )
             name = f"{kind.name}-{sequence}"
-            tasks.start_soon(self._call, kind, name, work_s, key, order)
+            tasks.start_soon(self._run_caller, kind, name, work_s, key, order)
 
-    async def _call(
+    async def _run_caller(
         self,
         kind: CallerKind,
         name: str,
@@ -536,34 +547,34 @@
         key: int,
         order: list[int],
     ) -> None:
-        """One caller, from its first attempt to its last."""
-        came_s = self._clock.monotonic_s()
-        ends_s = came_s + kind.patience_s
+        """Sends the attempts of one caller and records the result."""
+        first_sent_s = self._clock.monotonic_s()
+        deadline_s = first_sent_s + kind.patience_s
         for attempt, index in enumerate(order):
-            left_s = ends_s - self._clock.monotonic_s()
+            left_s = deadline_s - self._clock.monotonic_s()
             if left_s <= 0:
                 break
-            outcome = await self._attempt(
+            outcome = await self._send_attempt(
                 kind, f"{name}-{attempt}", work_s, key, index, left_s
             )
-            took_s = self._clock.monotonic_s() - came_s
+            elapsed_s = self._clock.monotonic_s() - first_sent_s
             if _is_served(outcome):
-                in_time = took_s <= kind.target_s
-                worth = kind.worth if in_time else kind.late_worth
-                word = "in_time" if in_time else "late"
-                self.report.note(kind, came_s, worth, word)
+                in_time = elapsed_s <= kind.target_s
+                value = kind.value if in_time else kind.late_value
+                result = "in_time" if in_time else "late"
+                self.report.record(kind, first_sent_s, value, result)
                 return
             if isinstance(outcome, outcomes.Unknown) and not kind.idempotent:
                 break
-            left_s = ends_s - self._clock.monotonic_s()
-            pause_s = _REPEAT_PAUSE_S
+            left_s = deadline_s - self._clock.monotonic_s()
+            pause_s = _RETRY_PAUSE_S
             if isinstance(outcome, outcomes.NotRun):
-                wanted_s = outcome.retry_after_ms / 1_000
-                pause_s = max(min(wanted_s, left_s / 3), pause_s)
+                retry_after_s = outcome.retry_after_ms / 1_000
+                pause_s = max(min(retry_after_s, left_s / 3), pause_s)
             await anyio.sleep(max(pause_s, 0.0))
-        self.report.note(kind, came_s, 0.0, "unserved")
+        self.report.record(kind, first_sent_s, 0.0, "unserved")
 
-    async def _attempt(
+    async def _send_attempt(
         self,
         kind: CallerKind,
         request_id: str,
@@ -572,18 +583,18 @@
         index: int,
         left_s: float,
     ) -> outcomes.Outcome | None:
-        """One attempt; None if no instance took it."""
-        if _holds(self.load.outage_s, self._clock.monotonic_s()):
+        """Sends one attempt; returns None if no instance answered."""
+        if _is_within(self.load.outage_s, self._clock.monotonic_s()):
             pause_s = min(_CONNECT_TIMEOUT_S, left_s / 3)
             await anyio.sleep(pause_s)
             return None
-        # Half of the attempts find no open connection and make one first.
+        # Half of the attempts have no open connection and establish one first.
         handshake_s = 0.0
         if zlib.crc32(request_id.encode()) % 2:
             handshake_s = 2 * _CALLER_LINK_S
         await anyio.sleep(_CALLER_LINK_S + handshake_s)
         left_s -= handshake_s
-        begun_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
         request = attempts.EntryRequest(
             request_id=request_id,
             method=b"GET",
@@ -593,7 +604,7 @@
             headers=(outcomes.Header(b"work", str(work_s).encode()),),
             body=b"",
             key=key,
-            received_s=begun_s,
+            received_s=started_s,
             caller_timeout_ms=float(int(left_s * 1_000)),
         )
         self.report.attempts_count += 1
@@ -601,9 +612,9 @@
         with anyio.move_on_after(left_s - _CALLER_LINK_S):
             outcome = await self.instances[index].run(request)
         label = type(outcome).__name__
-        self.report.statuses[f"{kind.name} {label}"] += 1
+        self.report.outcome_counts[f"{kind.name} {label}"] += 1
         if isinstance(outcome, outcomes.NotRun):
-            self.report.held_s.append(self._clock.monotonic_s() - begun_s)
+            self.report.held_s.append(self._clock.monotonic_s() - started_s)
         await anyio.sleep(_CALLER_LINK_S)
         return outcome
 
@@ -615,15 +626,15 @@
     )
 
 
-def _holds(span_s: tuple[float, float], now_s: float) -> bool:
-    return span_s[0] <= now_s < span_s[1]
+def _is_within(period_s: tuple[float, float], now_s: float) -> bool:
+    return period_s[0] <= now_s < period_s[1]
 
 
-def play(load: Load) -> Report:
-    """Plays a load to its end."""
+def run(load: Load) -> Report:
+    """Runs a simulation to its end."""
     environment = simpy.Environment()
 
     async def main() -> Report:
-        return await Scene(load, environment).run()
+        return await Cluster(load, environment).run()
 
     return virtual.run(environment, main)
--- a/tests/load/test_noisy_servers.py
+++ b/tests/load/test_noisy_servers.py
@@ -1,12 +1,13 @@
-"""Servers share their machines with others, and say how long work takes there.
+"""Tests servers with noisy neighbours that report their pace in answers.
 
-The pattern: 74 instances in four failure domains, 34 servers of unequal speed
-with 3 slots, a queue of 12 and a reset beyond it. A fifth of the time, in
-spells of 0.4 s, work takes three times as long at a server; its answers say so.
-With that the servers are busy to about 0.85.
+There are 74 instances in four failure domains and 34 servers of unequal speed
+with 3 slots and a queue of 12; requests beyond these are reset. A fifth of the
+time, in periods of 0.4 s, work at a server takes three times as long, and its
+answers report that. Including this, the servers are about 0.85 utilized.
 
-A server answers some twenty requests a second. One instance hears of it once in
-seconds, far too late; the one that counts for its failure domain hears all.
+A server answers some twenty requests a second. One instance gets an answer from
+it only once in several seconds, which is far too late; the permit issuer of the
+failure domain receives the reports of all its instances.
 """
 
 import dataclasses
@@ -14,9 +15,9 @@
 import pytest
 
 from tests.load import loads
-from tests.load import scene
+from tests.load import simulation
 
-REPORTS = scene.ServerKind(
+REPORTS = simulation.ServerKind(
     "reports",
     (0.7, 0.7, 1.6) * 11 + (1.0,),
     3,
@@ -25,24 +26,24 @@
     noise_share=0.2,
     noise_ratio=3.0,
 )
-READ = scene.CallerKind(
+READ = simulation.CallerKind(
     "read", "reports", 660, 0.09, 0.3, 1.0, 0.9, True, 2, 1, 0.5, retries=1
 )
-SILENT = dataclasses.replace(REPORTS, tells_pace=False)
+NOT_REPORTING = dataclasses.replace(REPORTS, reports_pace=False)
 
 
-def _play(kind: scene.ServerKind, ratio: float, seed: int) -> float:
-    load = scene.Load(
+def _run(kind: simulation.ServerKind, ratio: float, seed: int) -> float:
+    load = simulation.Load(
         (kind,),
         (loads.scaled(READ, ratio),),
         instance_count=74,
         seed=seed,
         length_s=6.0,
     )
-    return scene.play(load).total.ratio
+    return simulation.run(load).total.ratio
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("ratio", [0.6, 1.0])
-def test_what_servers_say_of_their_pace_is_worth_having(ratio, seed):
-    assert _play(REPORTS, ratio, seed) > _play(SILENT, ratio, seed)
+def test_reported_pace_raises_value(ratio, seed):
+    assert _run(REPORTS, ratio, seed) > _run(NOT_REPORTING, ratio, seed)
--- a/tests/load/test_surge.py
+++ b/tests/load/test_surge.py
@@ -1,15 +1,15 @@
-"""More comes at once than the servers can do: after an outage, in a burst.
-
-The pattern: every instance was away for 1.6 s, or half as many callers again
-come as the servers can serve. The backlog and those who come anew compete for
-the same slots. The system is one of 12 instances and 22, 10 and 8 servers of
-unequal speed, whose requests are 1.4 to 1.55 times as frequent as on a calm
-day: 0.7 to 0.8 of what the servers can do. An answer in time is worth 1, a late
-one 0.3.
-
-The bounds lie midway between the worth that is earned now and the worth that
-was earned when servers put requests in order of arrival; beside each stand both
-figures, of this seed.
+"""Tests overload after an outage and in a burst.
+
+Either all instances are unavailable for 1.6 s, or the request rate is half as
+high again as the servers' capacity. The backlog and new requests then compete
+for the same slots. There are 12 instances and services of 22, 10 and 8 servers
+of unequal speed. Request rates are 1.4 to 1.55 times those of a calm day, which
+is 0.7 to 0.8 of the servers' capacity. An answer in time has a value of 1, a
+late one 0.3.
+
+Each bound is midway between the value ratio that was achieved when servers
+queued requests in order of arrival and the present one; the comment beside it
+gives both for this seed.
 """
 
 import dataclasses
@@ -17,26 +17,26 @@
 import pytest
 
 from tests.load import loads
-from tests.load import scene
+from tests.load import simulation
 
 _OUTAGE_S = (1.0, 2.6)
 _BURST_S = (1.0, 3.0)
 
 
 def _read(**changes: object):
-    """Returns reads alone, which only the owner of their key can serve."""
+    """Returns a load of reads, which only the owner of the key can serve."""
     read = loads.scaled(loads.READ, 1.55)
-    return scene.Load((loads.CATALOGUE,), (read,), length_s=6.0, **changes)
+    return simulation.Load((loads.CATALOGUE,), (read,), length_s=6.0, **changes)
 
 
 def _bid(**changes: object):
-    """Returns bids alone, which any server can serve and none may repeat."""
+    """Returns a load of bids: any server can serve one, once at most."""
     bid = loads.scaled(loads.BID, 1.4)
-    return scene.Load((loads.BIDHOUSE,), (bid,), length_s=6.0, **changes)
+    return simulation.Load((loads.BIDHOUSE,), (bid,), length_s=6.0, **changes)
 
 
 @pytest.mark.parametrize(
-    ("load", "least"),
+    ("load", "min_ratio"),
     [
         # 0.507 to 0.722.
         pytest.param(_read(outage_s=_OUTAGE_S), 0.61, id="reads, return"),
@@ -52,8 +52,8 @@
         ),
     ],
 )
-def test_a_surge_does_not_make_everyone_late(load, least):
-    assert scene.play(load).total.ratio > least
+def test_surge_does_not_delay_all_requests(load, min_ratio):
+    assert simulation.run(load).total.ratio > min_ratio
 
 
 @pytest.mark.parametrize(
@@ -65,18 +65,18 @@
         pytest.param(_bid(outage_s=_OUTAGE_S), id="bids"),
     ],
 )
-def test_who_comes_a_second_after_the_return_is_served_in_time(load):
-    report = scene.play(load)
+def test_requests_soon_after_outage_are_served_in_time(load):
+    report = simulation.run(load)
     assert report.seconds[int(_OUTAGE_S[1]) + 2].ratio > 0.7
 
 
-def test_servers_drop_nobody_in_a_surge():
-    # 70 requests were dropped without a word when each instance sent up to
-    # three at a time to a server that queues 24.
-    assert scene.play(_read(outage_s=_OUTAGE_S)).dropped_count == 0
+def test_servers_drop_no_requests_after_outage():
+    # 70 requests were dropped silently when each instance sent up to three at a
+    # time to a server with a queue of 24.
+    assert simulation.run(_read(outage_s=_OUTAGE_S)).dropped_count == 0
 
 
-def test_calm_callers_do_not_wait_for_room():
-    # 0.977 before and now: the price of keeping order is paid in surges only.
+def test_requests_on_calm_day_are_not_delayed():
+    # 0.977 both before and now: ordering requests has a cost in surges only.
     read = dataclasses.replace(_read(), length_s=4.0)
-    assert scene.play(read).total.ratio > 0.97
+    assert simulation.run(read).total.ratio > 0.97
