--- a/benchmarks/poison_fingerprints.py
+++ b/benchmarks/poison_fingerprints.py
@@ -87,7 +87,7 @@
 
 def _measure_variant(variant: Variant, size: str, count: int) -> list[rows.Row]:
     """Measures one variant."""
-    play = crash_scene.Play(
+    play = crash_scene.Simulation(
         instances.FREE_SERVICE, instance_count=count, server_count=12
     )
     if variant.compute_fingerprint is None:
@@ -107,9 +107,9 @@
     async with anyio.create_task_group() as callers:
         for body in (b"", _HARMLESS_BODY):
             callers.start_soon(
-                scene.ask_from_everywhere, _TARGET, 0.1, None, 10.0, body
+                scene.send_from_many_callers, _TARGET, 0.1, None, 10.0, body
             )
-        callers.start_soon(scene.ask_at_rate, scene.service, 100.0)
+        callers.start_soon(scene.send_at_rate, scene.service, 100.0)
         await anyio.sleep(_LENGTH_S)
         callers.cancel_scope.cancel()
 
@@ -126,10 +126,10 @@
         if run.is_poison and run.at_s > late_from_s
     ]
     refused = [
-        told
-        for told in scene.told
-        if (told.target != _TARGET or told.body)
-        and getattr(told.outcome, "reason", "") == _REFUSED
+        result
+        for result in scene.results
+        if (result.target != _TARGET or result.body)
+        and getattr(result.outcome, "reason", "") == _REFUSED
     ]
     path = poison_broadcast.PATH.decode()
     broadcast_kb = scene.cluster.network.message_bytes[path] / 1e3
--- a/tests/emulated/crash_scene.py
+++ b/tests/emulated/crash_scene.py
@@ -1,4 +1,4 @@
-"""Callers of a cluster, one of whose requests ends the servers that run it."""
+"""Callers of a cluster that also send a poison request."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,12 +18,12 @@
 from bridgecross_emulator import instances
 from bridgecross_emulator import virtual
 
-DEADLY_KEY = 26_851
-"""The key of the requests that end servers; their owner is lost each time."""
+POISON_KEY = 26_851
+"""The key of the poison requests; each of them crashes the key's owner."""
 
 
-class Told(NamedTuple):
-    """What a caller was told."""
+class Result(NamedTuple):
+    """The outcome of one request of a caller."""
 
     at_s: float
     target: bytes
@@ -32,27 +32,27 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether a server answered."""
+        """Whether a backend server answered the request."""
         return isinstance(self.outcome, outcomes.Answered)
 
 
 class Scene:
-    """A cluster, and callers who keep coming."""
+    """A cluster with callers that send requests until cancelled."""
 
     def __init__(
         self, cluster: clusters.Cluster, service: str, seed: int
     ) -> None:
         self.cluster = cluster
         self.service = service
-        self.told: list[Told] = []
-        # From when nothing is wrong any more.
-        self.calm_s = 0.0
+        self.results: list[Result] = []
+        # The time from which the cluster counts as recovered.
+        self.recovered_s = 0.0
         self._rng = random.Random(seed)
         self._count = 0
 
     @property
-    def deadly(self) -> bytes:
-        """What the request that ends servers asks for."""
+    def poison_target(self) -> bytes:
+        """The target of the poison request."""
         return f"/{self.service}/deadly".encode()
 
     async def call(
@@ -63,7 +63,7 @@
         caller: str = "10.9.0.1",
         body: bytes = b"",
     ) -> outcomes.Outcome:
-        """Sends one request under an id of its own; returns its outcome."""
+        """Sends one request with a new id; returns its outcome."""
         if instance is None:
             instance = self._rng.choice(callers.list_reachable(self.cluster))
         if key is None:
@@ -72,18 +72,18 @@
         outcome = await callers.send(
             instance, f"id-{self._count}", target, key, caller, body
         )
-        self.told.append(Told(self.cluster.now_s, target, outcome, body))
+        self.results.append(Result(self.cluster.now_s, target, outcome, body))
         return outcome
 
-    async def keep_calling(
+    async def send_repeatedly(
         self, target: bytes, gap_s: float, key: int | None = None
     ) -> None:
-        """Sends a request again and again, each time when it has ended."""
+        """Sends a request repeatedly, each time after the last one finished."""
         while True:
             await self.call(target, key)
             await anyio.sleep(gap_s)
 
-    async def ask_from_everywhere(
+    async def send_from_many_callers(
         self,
         target: bytes,
         gap_s: float,
@@ -91,27 +91,27 @@
         leave_after_s: float = math.inf,
         body: bytes = b"",
     ) -> None:
-        """Sends a request again and again; no caller sends it more than twice.
+        """Sends a request repeatedly; no caller sends it more than twice.
 
         Args:
-            target: What is asked for.
-            gap_s: The time from one to the next, whatever came of it.
-            key: The key; another each time, if left out.
-            leave_after_s: When callers leave, counted from their requests.
-            body: What is sent.
+            target: The target of the request.
+            gap_s: The time between requests, whatever their outcome.
+            key: The key; a random one for each request if omitted.
+            leave_after_s: The time after which callers abandon a request.
+            body: The body of the request.
         """
 
-        async def ask(caller: str) -> None:
+        async def send(caller: str) -> None:
             with anyio.move_on_after(leave_after_s):
                 await self.call(target, key, caller=caller, body=body)
 
         async with anyio.create_task_group() as tasks:
             for number in itertools.count():
-                tasks.start_soon(ask, callers.name_caller(number // 2))
+                tasks.start_soon(send, callers.name_caller(number // 2))
                 await anyio.sleep(gap_s)
 
-    async def serve_others(self, gap_s: float = 0.02) -> None:
-        """Sends harmless requests, all of them for other things."""
+    async def send_harmless(self, gap_s: float = 0.02) -> None:
+        """Sends harmless requests, each with a target of its own."""
         async with anyio.create_task_group() as tasks:
             number = 0
             while True:
@@ -120,7 +120,7 @@
                 tasks.start_soon(self.call, target)
                 await anyio.sleep(gap_s)
 
-    async def ask_at_rate(self, service: str, rate_per_s: float) -> None:
+    async def send_at_rate(self, service: str, rate_per_s: float) -> None:
         """Sends requests to a service for random keys."""
         number = 0
         async with anyio.create_task_group() as tasks:
@@ -131,42 +131,42 @@
                 await anyio.sleep(1 / rate_per_s)
 
     def end_times_s(self, target: bytes) -> list[float]:
-        """Returns when servers ended by running some target."""
+        """Returns the times at which a target crashed servers."""
         ends = self.cluster.fleet.ends
         return [each.at_s for each in ends if each.target == target]
 
     def run_times_s(self, target: bytes) -> list[float]:
-        """Returns when servers began to run what some target asks for."""
+        """Returns the times at which servers began to run a target."""
         return [r.at_s for r in self.cluster.fleet.runs if r.target == target]
 
     def served_ratio(self, from_s: float, prefix: bytes) -> float:
-        """Returns the part of requests served that came to an end since."""
+        """Returns the share of requests served, of those finished since."""
         served = [
-            told.is_served
-            for told in self.told
-            if told.at_s >= from_s and told.target.startswith(prefix)
+            result.is_served
+            for result in self.results
+            if result.at_s >= from_s and result.target.startswith(prefix)
         ]
         return statistics.fmean(served)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Play:
-    """What a scene is played with."""
+class Simulation:
+    """The settings of a simulated cluster and its callers."""
 
     service: str = instances.SERVICE
     instance_count: int = 5
     server_count: int = 6
     seed: int = 1
-    # Failure domains of the servers.
+    # Number of failure domains of the servers.
     server_domain_count: int = 1
     warmup: instances.Warmup | None = None
-    # For how long the cluster runs before anything happens.
+    # How long the cluster runs before the scenario starts.
     settle_s: float = 8.0
-    # Requests a second to each of the services, all the while.
-    asks_per_s: float = 0.0
+    # Background requests per second to each service.
+    requests_per_s: float = 0.0
 
-    def run(self, act: Callable[[Scene], Awaitable[None]]) -> Scene:
-        """Plays a scene; returns it as it was at its end."""
+    def run(self, scenario: Callable[[Scene], Awaitable[None]]) -> Scene:
+        """Runs a scenario; returns its scene in the final state."""
         environment = simpy.Environment()
 
         async def main() -> Scene:
@@ -185,14 +185,14 @@
                 )
                 await cluster.start(self.settle_s)
                 scene = Scene(cluster, self.service, self.seed)
-                async with anyio.create_task_group() as asking:
-                    if self.asks_per_s:
+                async with anyio.create_task_group() as senders:
+                    if self.requests_per_s:
                         for each in (instances.SERVICE, instances.FREE_SERVICE):
-                            asking.start_soon(
-                                scene.ask_at_rate, each, self.asks_per_s
+                            senders.start_soon(
+                                scene.send_at_rate, each, self.requests_per_s
                             )
-                    await act(scene)
-                    asking.cancel_scope.cancel()
+                    await scenario(scene)
+                    senders.cancel_scope.cancel()
                 cluster.stop()
             return scene
 
--- a/tests/emulated/test_evacuation.py
+++ b/tests/emulated/test_evacuation.py
@@ -53,10 +53,10 @@
     server_domain_count: int = 3,
 ) -> crash_scene.Scene:
     """Plays a cluster with servers in some failure domains."""
-    return crash_scene.Play(
+    return crash_scene.Simulation(
         server_domain_count=server_domain_count,
         settle_s=run_s,
-        asks_per_s=60.0,
+        requests_per_s=60.0,
     ).run(act)
 
 
@@ -106,10 +106,12 @@
         runs = len(scene.cluster.fleet.runs)
         await anyio.sleep(3.0)
         assert len(scene.cluster.fleet.runs) == runs
-        told = [t for t in scene.told if t.at_s > scene.cluster.now_s - 3.0]
-        assert told
-        assert not any(t.is_served for t in told)
-        assert {t.outcome.status for t in told} == {503}
+        results = [
+            t for t in scene.results if t.at_s > scene.cluster.now_s - 3.0
+        ]
+        assert results
+        assert not any(t.is_served for t in results)
+        assert {t.outcome.status for t in results} == {503}
         scene.cluster.end_evacuation("zone-0")
         await anyio.sleep(6.0)
         assert scene.served_ratio(scene.cluster.now_s - 1.0, b"/") > 0.95
--- a/tests/emulated/test_innocent.py
+++ b/tests/emulated/test_innocent.py
@@ -1,8 +1,8 @@
-"""Requests that were merely at work where servers ended are served as before.
+"""Requests that were only running where servers crashed are served as before.
 
-A popular request is always at work somewhere. When servers end for reasons of
-their own, it is among what was at work there each time, just as a request that
-ends servers would be. It is told from that by its answers.
+A popular request is always running somewhere. When servers crash for other
+reasons, it is among the interrupted requests each time, just as a poison
+request would be. It is told apart from a poison request by its answers.
 """
 
 from collections.abc import Awaitable
@@ -17,17 +17,18 @@
 from tests.emulated import crash_scene
 
 SERVED_LEAST = 0.95
-"""What bystanders are to be served of, once the servers are back."""
+"""The minimum share of innocent requests served once the servers are back."""
 
-CALM_AFTER_S = 5.0
-"""After the last harm: a lease runs 2.7 s on from the last order of an earlier
-leader, who may order for 2 s after the next one is known."""
+RECOVERED_AFTER_S = 5.0
+"""Time to recover after the last fault. A lease lasts 2.7 s from the last order
+of an earlier leader, which may send orders for 2 s after the next leader is
+known."""
 
 POPULAR_KEY = 26_851
 
 
-async def _crash_where_it_is(scene: crash_scene.Scene) -> None:
-    """Six times, the server that has run the popular request last."""
+async def _crash_last_runner_repeatedly(scene: crash_scene.Scene) -> None:
+    """Crashes the server that last ran the popular request, six times."""
     for _ in range(6):
         newest = [
             run.server
@@ -39,7 +40,7 @@
 
 
 async def _crash_all(scene: crash_scene.Scene) -> None:
-    """All servers of the service at the same moment, twice."""
+    """Crashes all servers of the service at the same moment, twice."""
     for _ in range(2):
         for name in _names(scene):
             _crash(scene, name)
@@ -47,7 +48,7 @@
 
 
 async def _crash_half(scene: crash_scene.Scene) -> None:
-    """A failure domain, three times."""
+    """Crashes the servers of a failure domain, three times."""
     for _ in range(3):
         for name in _names(scene)[::2]:
             _crash(scene, name)
@@ -55,14 +56,14 @@
 
 
 async def _crash_in_turn(scene: crash_scene.Scene) -> None:
-    """Each server once, as in a release that goes wrong."""
+    """Crashes each server once, as a faulty software release does."""
     for name in _names(scene):
         _crash(scene, name)
         await anyio.sleep(1.5)
 
 
-async def _crash_beside_restarts(scene: crash_scene.Scene) -> None:
-    """Instances that start anew have seen none of its answers."""
+async def _crash_during_restarts(scene: crash_scene.Scene) -> None:
+    """Restarts instances, which then have seen no answer to the request."""
     cluster = scene.cluster
     for number, name in enumerate(_names(scene)):
         killed = cluster.instances[number % len(cluster.instances)]
@@ -73,8 +74,8 @@
         await anyio.sleep(2.0)
 
 
-async def _crash_beside_a_cut(scene: crash_scene.Scene) -> None:
-    """Who is cut off hears of ends and answers only afterwards."""
+async def _crash_during_isolation(scene: crash_scene.Scene) -> None:
+    """Isolates an instance, which learns of crashes and answers only later."""
     cluster = scene.cluster
     cluster.isolate(cluster.others()[0])
     for name in _names(scene)[:4]:
@@ -84,7 +85,7 @@
 
 
 def popular(scene: crash_scene.Scene) -> bytes:
-    """Returns what the popular request asks for."""
+    """Returns the target of the popular request."""
     return f"/{scene.service}/popular".encode()
 
 
@@ -101,24 +102,24 @@
     fleet.crash(found[0])
 
 
-Harm = Callable[[crash_scene.Scene], Awaitable[None]]
+Fault = Callable[[crash_scene.Scene], Awaitable[None]]
 
 
-def _play(service: str, harm: Harm) -> crash_scene.Scene:
-    async def act(scene: crash_scene.Scene) -> None:
+def _simulate(service: str, fault: Fault) -> crash_scene.Scene:
+    async def scenario(scene: crash_scene.Scene) -> None:
         async with anyio.create_task_group() as callers:
-            # Enough of them that several are at work at every moment.
+            # Enough callers that several requests are running at any time.
             for _ in range(8):
                 callers.start_soon(
-                    scene.keep_calling, popular(scene), 0.02, POPULAR_KEY
+                    scene.send_repeatedly, popular(scene), 0.02, POPULAR_KEY
                 )
             await anyio.sleep(2.0)
-            await harm(scene)
-            scene.calm_s = scene.cluster.now_s + 4.0
+            await fault(scene)
+            scene.recovered_s = scene.cluster.now_s + 4.0
             await anyio.sleep(8.0)
             callers.cancel_scope.cancel()
 
-    return crash_scene.Play(service).run(act)
+    return crash_scene.Simulation(service).run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -129,46 +130,48 @@
     ],
 )
 @pytest.mark.parametrize(
-    "harm",
+    "fault",
     [
-        pytest.param(_crash_where_it_is, id="where it is"),
+        pytest.param(_crash_last_runner_repeatedly, id="where it is"),
         pytest.param(_crash_all, id="all at once"),
         pytest.param(_crash_half, id="half at once"),
         pytest.param(_crash_in_turn, id="in turn"),
-        pytest.param(_crash_beside_restarts, id="beside restarts"),
-        pytest.param(_crash_beside_a_cut, id="beside a cut"),
+        pytest.param(_crash_during_restarts, id="beside restarts"),
+        pytest.param(_crash_during_isolation, id="beside a cut"),
     ],
 )
-def test_a_popular_request_is_never_refused_for_being_at_work(service, harm):
-    scene = _play(service, harm)
+def test_a_popular_request_is_not_refused_for_running_during_crashes(
+    service, fault
+):
+    scene = _simulate(service, fault)
     refused = [
         line for line in scene.cluster.lines if line.event == "poison_refused"
     ]
     assert refused == []
-    assert scene.served_ratio(scene.calm_s, popular(scene)) >= SERVED_LEAST
+    assert scene.served_ratio(scene.recovered_s, popular(scene)) >= SERVED_LEAST
     assert not any(
-        "ended while they ran it" in getattr(told.outcome, "reason", "")
-        for told in scene.told
+        "ended while they ran it" in getattr(result.outcome, "reason", "")
+        for result in scene.results
     )
 
 
-# The same with hundreds of callers, of which none comes more than twice.
+# The same with hundreds of callers, none of which sends more than two requests.
 
-DEADLY_GAP_S = 0.25
+POISON_GAP_S = 0.25
 
 
 async def _add_poison_request(
     scene: crash_scene.Scene, name: str, key: int | None, for_s: float
 ) -> None:
-    """Lets callers ask for a request that ends servers."""
+    """Sends a poison request from many callers for a while."""
     target = f"/{scene.service}/deadly-{name}".encode()
     scene.cluster.fleet.poison_targets.add(target)
     with anyio.move_on_after(for_s):
-        await scene.ask_from_everywhere(target, DEADLY_GAP_S, key)
+        await scene.send_from_many_callers(target, POISON_GAP_S, key)
 
 
 async def _lose_domains(scene: crash_scene.Scene) -> None:
-    """One failure domain after the other."""
+    """Crashes the servers of one failure domain after the other."""
     for number in range(4):
         domain = clusters.name_domain(number % 2)
         for server in scene.cluster.fleet.servers.values():
@@ -177,28 +180,28 @@
         await anyio.sleep(6.0)
 
 
-async def _deadly_elsewhere(scene: crash_scene.Scene) -> None:
-    """One for other keys of the same service, and then others."""
+async def _poison_other_keys(scene: crash_scene.Scene) -> None:
+    """Sends three poison requests in turn, for random keys of the service."""
     for number in range(3):
         await _add_poison_request(scene, f"any-{number}", None, 8.0)
 
 
-async def _deadly_at_its_key(scene: crash_scene.Scene) -> None:
-    """One that is at work wherever the popular one is, and then others."""
+async def _poison_same_key(scene: crash_scene.Scene) -> None:
+    """Sends three poison requests in turn, for the popular request's key."""
     for number in range(3):
         await _add_poison_request(scene, f"here-{number}", POPULAR_KEY, 8.0)
 
 
-async def _deadly_often(scene: crash_scene.Scene) -> None:
-    """One that comes so often that no owner of the key lives to answer."""
+async def _poison_frequently(scene: crash_scene.Scene) -> None:
+    """Sends a poison request so often that no owner of the key can answer."""
     target = f"/{scene.service}/deadly-often".encode()
     scene.cluster.fleet.poison_targets.add(target)
     with anyio.move_on_after(8.0):
-        await scene.ask_from_everywhere(target, 0.01, POPULAR_KEY)
+        await scene.send_from_many_callers(target, 0.01, POPULAR_KEY)
 
 
-async def _deadly_twins(scene: crash_scene.Scene) -> None:
-    """Two at the same time."""
+async def _poison_two_targets(scene: crash_scene.Scene) -> None:
+    """Sends two poison requests at the same time."""
     async with anyio.create_task_group() as tasks:
         for name in ("one", "two"):
             tasks.start_soon(
@@ -206,7 +209,7 @@
             )
 
 
-async def _deadly_while_domains_are_lost(scene: crash_scene.Scene) -> None:
+async def _poison_while_domains_are_lost(scene: crash_scene.Scene) -> None:
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(
             _add_poison_request, scene, "beside", POPULAR_KEY, 12.0
@@ -215,18 +218,18 @@
 
 
 async def _owner_moves(scene: crash_scene.Scene) -> None:
-    """No answer comes for seconds, each time that its owner ends."""
+    """Crashes owners whose successors are late to take over: no answers."""
     for server in scene.cluster.fleet.servers.values():
         server.takes_late = True
     for _ in range(4):
-        await _crash_where_it_is_now(scene)
+        await _crash_last_runner(scene)
         await anyio.sleep(4.0)
     for server in scene.cluster.fleet.servers.values():
         server.takes_late = False
 
 
-async def _crash_where_it_is_now(scene: crash_scene.Scene) -> None:
-    """The server that has run the popular request last."""
+async def _crash_last_runner(scene: crash_scene.Scene) -> None:
+    """Crashes the server that last ran the popular request."""
     newest = [
         run.server
         for run in scene.cluster.fleet.runs
@@ -236,9 +239,9 @@
 
 
 async def _fail_and_crash(scene: crash_scene.Scene) -> None:
-    """All its answers are errors."""
+    """Makes every answer to the popular request an error."""
     scene.cluster.fleet.failing.add(popular(scene))
-    await _crash_where_it_is(scene)
+    await _crash_last_runner_repeatedly(scene)
 
 
 async def _fail_and_crash_in_turn(scene: crash_scene.Scene) -> None:
@@ -246,57 +249,57 @@
     await _crash_in_turn(scene)
 
 
-async def _fail_beside_deadly(scene: crash_scene.Scene) -> None:
+async def _fail_with_poison(scene: crash_scene.Scene) -> None:
     scene.cluster.fleet.failing.add(popular(scene))
-    await _deadly_at_its_key(scene)
+    await _poison_same_key(scene)
 
 
 class Crowd(NamedTuple):
-    """How hundreds of callers ask for the same, and what happens."""
+    """A popular request of hundreds of callers, and the fault injected."""
 
-    harm: Harm
-    # The popular request has been answered for so long before it begins.
+    fault: Fault
+    # How long the popular request is answered before the fault.
     known_for_s: float = 2.0
     gap_s: float = 0.01
 
 
 CROWDS = {
     "failure domains lost": Crowd(_lose_domains),
-    "crashes where it is": Crowd(_crash_where_it_is),
+    "crashes where it is": Crowd(_crash_last_runner_repeatedly),
     "all crash at once": Crowd(_crash_all),
     "crashes in turn": Crowd(_crash_in_turn),
-    "crashes beside restarts": Crowd(_crash_beside_restarts),
-    "crashes beside a cut": Crowd(_crash_beside_a_cut),
-    "a deadly one elsewhere": Crowd(_deadly_elsewhere),
-    "a deadly one at its key": Crowd(_deadly_at_its_key),
-    "a deadly one, both new": Crowd(_deadly_at_its_key, known_for_s=0.0),
-    "a deadly one often": Crowd(_deadly_often),
-    "two deadly ones": Crowd(_deadly_twins),
-    "a deadly one, domains lost": Crowd(_deadly_while_domains_are_lost),
+    "crashes beside restarts": Crowd(_crash_during_restarts),
+    "crashes beside a cut": Crowd(_crash_during_isolation),
+    "a deadly one elsewhere": Crowd(_poison_other_keys),
+    "a deadly one at its key": Crowd(_poison_same_key),
+    "a deadly one, both new": Crowd(_poison_same_key, known_for_s=0.0),
+    "a deadly one often": Crowd(_poison_frequently),
+    "two deadly ones": Crowd(_poison_two_targets),
+    "a deadly one, domains lost": Crowd(_poison_while_domains_are_lost),
     "its owner moves": Crowd(_owner_moves),
     "only errors": Crowd(_fail_and_crash),
     "only errors, in turn": Crowd(_fail_and_crash_in_turn),
-    "only errors, a deadly one": Crowd(_fail_beside_deadly),
-    "asked for seldom, a deadly one": Crowd(_deadly_at_its_key, gap_s=0.3),
+    "only errors, a deadly one": Crowd(_fail_with_poison),
+    "asked for seldom, a deadly one": Crowd(_poison_same_key, gap_s=0.3),
 }
 
 
-def _play_crowd(service: str, crowd: Crowd) -> crash_scene.Scene:
-    async def act(scene: crash_scene.Scene) -> None:
+def _simulate_crowd(service: str, crowd: Crowd) -> crash_scene.Scene:
+    async def scenario(scene: crash_scene.Scene) -> None:
         async with anyio.create_task_group() as callers:
             callers.start_soon(
-                scene.ask_from_everywhere,
+                scene.send_from_many_callers,
                 popular(scene),
                 crowd.gap_s,
                 POPULAR_KEY,
             )
             await anyio.sleep(crowd.known_for_s)
-            await crowd.harm(scene)
-            scene.calm_s = scene.cluster.now_s + CALM_AFTER_S
+            await crowd.fault(scene)
+            scene.recovered_s = scene.cluster.now_s + RECOVERED_AFTER_S
             await anyio.sleep(8.0)
             callers.cancel_scope.cancel()
 
-    return crash_scene.Play(service, server_domain_count=2).run(act)
+    return crash_scene.Simulation(service, server_domain_count=2).run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -308,12 +311,12 @@
 )
 @pytest.mark.parametrize("crowd", CROWDS.values(), ids=CROWDS)
 def test_a_target_of_many_callers_is_never_refused(service, crowd):
-    scene = _play_crowd(service, crowd)
+    scene = _simulate_crowd(service, crowd)
     refused = [
-        told
-        for told in scene.told
-        if told.target == popular(scene)
-        and "ended while they ran it" in getattr(told.outcome, "reason", "")
+        result
+        for result in scene.results
+        if result.target == popular(scene)
+        and "ended while they ran it" in getattr(result.outcome, "reason", "")
     ]
     assert refused == []
-    assert scene.served_ratio(scene.calm_s, popular(scene)) >= SERVED_LEAST
+    assert scene.served_ratio(scene.recovered_s, popular(scene)) >= SERVED_LEAST
--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -82,8 +82,8 @@
 
 
 def _play(act):
-    return crash_scene.Play(
-        settle_s=6.0, instance_count=4, server_count=4, asks_per_s=80.0
+    return crash_scene.Simulation(
+        settle_s=6.0, instance_count=4, server_count=4, requests_per_s=80.0
     ).run(act)
 
 
--- a/tests/emulated/test_many_callers.py
+++ b/tests/emulated/test_many_callers.py
@@ -1,18 +1,13 @@
-"""A request that ends the servers which run it, and comes from many callers.
-
-What was seen: three servers had ended under one target, and it was sent to 11
-to 18 more; up to 28 ended. The same target came from 156 addresses, each of
-which sent it once or twice.
-
-How it came about: what a request is known by held the address that it came
-from. So the same request from elsewhere was another one, whose ends were
-counted anew; 57 ends that instances noted named no request twice.
-
-The cause: who asks was taken for a part of what is asked.
-
-What proved it: with the address left out three servers end under each request;
-and the test below, in which nothing else is wrong. The tests of repeated
-crashes played one caller, whose address was always the same.
+"""A poison request that comes from many callers.
+
+Guards against counting the crashes of one request per caller. Three servers had
+crashed under one target, and it was still sent to 11 to 18 more; up to 28
+crashed. The target came from 156 addresses, each of which sent it once or
+twice. The fingerprint of a request included the address of its caller, so the
+same request from another address was counted anew: the 57 crashes that
+instances recorded named no request twice. Without the address three servers
+crash under each request. The tests of repeated crashes missed this because they
+simulated a single caller with a fixed address.
 """
 
 from typing import NamedTuple
@@ -24,9 +19,9 @@
 from bridgecross_emulator import instances
 from tests.emulated import crash_scene
 
-ENDS_MAX_COUNT = 3
+CRASHES_MAX_COUNT = 3
 KNOWN_WITHIN_S = 0.3
-"""How long after the third end the request may still reach servers."""
+"""How long after the third crash the request may still reach servers."""
 
 KEYED = (instances.SERVICE,)
 FREE = (instances.FREE_SERVICE,)
@@ -34,13 +29,13 @@
 
 
 class Case(NamedTuple):
-    """Which services have a request that ends servers, and who asks for it."""
+    """The services that get a poison request, and how callers send it."""
 
     services: tuple[str, ...]
     gap_s: float = 0.25
-    # When callers leave, counted from their requests; servers end after 40 ms.
+    # When callers abandon a request; it crashes its server after 40 ms.
     leave_after_s: float = 10.0
-    # Whether the requests are for one key.
+    # Whether all requests have the same key.
     has_one_key: bool = True
     instance_count: int = 5
 
@@ -58,57 +53,59 @@
 }
 
 
-def _name_deadly(service: str) -> bytes:
+def _poison_target(service: str) -> bytes:
     return f"/{service}/deadly".encode()
 
 
-def _play(case: Case) -> crash_scene.Scene:
-    async def act(scene: crash_scene.Scene) -> None:
-        key = crash_scene.DEADLY_KEY if case.has_one_key else None
+def _simulate(case: Case) -> crash_scene.Scene:
+    async def scenario(scene: crash_scene.Scene) -> None:
+        key = crash_scene.POISON_KEY if case.has_one_key else None
         async with anyio.create_task_group() as callers:
             for service in case.services:
-                target = _name_deadly(service)
+                target = _poison_target(service)
                 scene.cluster.fleet.poison_targets.add(target)
                 callers.start_soon(
-                    scene.ask_from_everywhere,
+                    scene.send_from_many_callers,
                     target,
                     case.gap_s,
                     key,
                     case.leave_after_s,
                 )
-                callers.start_soon(scene.ask_at_rate, service, 100.0)
+                callers.start_soon(scene.send_at_rate, service, 100.0)
             await anyio.sleep(20.0)
             callers.cancel_scope.cancel()
 
-    return crash_scene.Play(instance_count=case.instance_count).run(act)
+    return crash_scene.Simulation(instance_count=case.instance_count).run(
+        scenario
+    )
 
 
 @pytest.mark.parametrize("case", CASES.values(), ids=CASES)
-def test_three_servers_end_whoever_asks(case):
-    scene = _play(case)
+def test_three_servers_crash_whoever_the_callers_are(case):
+    scene = _simulate(case)
     for service in case.services:
-        target = _name_deadly(service)
+        target = _poison_target(service)
         ends_s = scene.end_times_s(target)
-        assert len(ends_s) == ENDS_MAX_COUNT
+        assert len(ends_s) == CRASHES_MAX_COUNT
         known_s = ends_s[-1] + KNOWN_WITHIN_S
         late = [at_s for at_s in scene.run_times_s(target) if at_s > known_s]
         assert late == []
-        last = [each for each in scene.told if each.target == target][-1]
+        last = [each for each in scene.results if each.target == target][-1]
         assert isinstance(last.outcome, outcomes.NotRun)
 
 
 SENT_MAX_COUNT = 3
-"""Requests that may go to servers from 0.3 s after the second end on."""
+"""Requests that may go to servers later than 0.3 s after the second crash."""
 
 
-# All that waited for a lost key went to its next owner at once: ten were at
-# work where the third server ended.
+# Guards against sending all requests that waited for a lost key to its next
+# owner at once: ten were running on the third server when it crashed.
 @pytest.mark.parametrize("services", [KEYED, FREE, BOTH])
 @pytest.mark.parametrize("count", [5, 24])
-def test_few_are_sent_once_two_servers_have_ended(services, count):
-    scene = _play(Case(services, 0.01, instance_count=count))
+def test_few_are_sent_once_two_servers_have_crashed(services, count):
+    scene = _simulate(Case(services, 0.01, instance_count=count))
     for service in services:
-        target = _name_deadly(service)
+        target = _poison_target(service)
         ends_s = scene.end_times_s(target)
         known_s = ends_s[1] + KNOWN_WITHIN_S
         sent = [at_s for at_s in scene.run_times_s(target) if at_s > known_s]
--- a/tests/emulated/test_rest.py
+++ b/tests/emulated/test_rest.py
@@ -48,8 +48,8 @@
             server.backoff_s = 0.0
         await anyio.sleep(BACKOFF_S + 1.0)
 
-    return crash_scene.Play(
-        settle_s=6.0, instance_count=4, server_count=3, asks_per_s=120.0
+    return crash_scene.Simulation(
+        settle_s=6.0, instance_count=4, server_count=3, requests_per_s=120.0
     ).run(act)
 
 
@@ -69,8 +69,8 @@
     assert scene.cluster.fleet.rejections
     assert _find_most(scene.cluster) <= ALLOWED_COUNT
     # Once the servers accept requests again, they are used again.
-    calm_s = scene.cluster.now_s - 0.5
-    assert scene.served_ratio(calm_s, f"/{service}/".encode()) > 0.95
+    recovered_s = scene.cluster.now_s - 0.5
+    assert scene.served_ratio(recovered_s, f"/{service}/".encode()) > 0.95
 
 
 def _ignore_notices():
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -55,12 +55,12 @@
         await anyio.sleep(2.0)
         await act(scene)
 
-    return crash_scene.Play(
+    return crash_scene.Simulation(
         instance_count=8,
         server_domain_count=3,
         warmup=WARMUP,
         seed=seed,
-        asks_per_s=CALLS_PER_S,
+        requests_per_s=CALLS_PER_S,
     ).run(act_later)
 
 
