--- a/tests/load/test_surge.py
+++ b/tests/load/test_surge.py
@@ -30,7 +30,7 @@
 
 
 def _bid(**changes: object):
-    """Returns a load of bids: any server can serve one, once at most."""
+    """Returns a load of non-idempotent bids, which any server can serve."""
     bid = loads.scaled(loads.BID, 1.4)
     return simulation.Load((loads.BIDHOUSE,), (bid,), length_s=6.0, **changes)
 
