--- a/tests/matrix/__init__.py
+++ b/tests/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: whole instances in one process, in virtual time."""
+"""The fault matrix: complete instances in one process, in virtual time."""
--- a/tests/matrix/house.py
+++ b/tests/matrix/cluster.py
@@ -1,4 +1,4 @@
-"""A small house of whole instances in one process, and its checks."""
+"""A small cluster of complete instances in one process, and its checks."""
 
 import dataclasses
 import pathlib
@@ -32,12 +32,12 @@
 DEADLINE_S = 1.0
 _DOMAINS = ("ankara-hall", "kayseri-hall", "konya-hall")
 _SAMPLE = pathlib.Path(__file__).parents[2] / "settings" / "karatas.jsonc"
-_KEYS = 12
-_PACE_S = 0.02
+_KEY_COUNT = 12
+_LOAD_INTERVAL_S = 0.02
 
 
 def build_document(*, slots: int = 4, checks: bool = True) -> dict[str, Any]:
-    """Returns the sample settings cut down to one small service."""
+    """Returns the sample settings, reduced to one small service."""
     text = _SAMPLE.read_text(encoding="utf-8")
     document = check.check_text(text, "karatas").document
     place = document["places"]["anadolu"]
@@ -48,7 +48,7 @@
         "max_deadline_ms": 2_000,
     }
     place["drain_notice_ms"] = 500
-    # Long, so that a front that is cut off has time to do harm.
+    # Long, so that a front that is cut off could still violate guarantees.
     place["authority_ms"] = 3_000
     document["slots_per_server"] = slots
     for caller in document["callers"].values():
@@ -58,21 +58,21 @@
 
 @dataclasses.dataclass
 class Node:
-    """One instance and what became of what it was asked."""
+    """An instance and the settings versions that it had in force."""
 
-    # How it is connected.
+    # Its connections, and whether its process runs.
     link: fakes.Link
     # The instance itself.
     entry: instance.Instance
-    # Its folded state.
+    # Its state according to the log.
     state: control.ControlState
     # The settings versions that it had in force, in order.
     versions: list[int] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass
-class Told:
-    """What a caller was told."""
+class SentRequest:
+    """A request and its outcome."""
 
     # When the request was sent, in virtual seconds.
     sent_s: float
@@ -80,12 +80,12 @@
     key: str
     # Its id.
     request_id: str
-    # What the caller was told; None if no answer came.
+    # The outcome that the caller got; None if no answer arrived.
     outcome: outcomes.Outcome | None
 
 
-class House:
-    """Instances, servers, log and list in virtual time."""
+class Cluster:
+    """Instances, servers, log and instance list in virtual time."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         checks: bool,
         seed: int = 0,
     ) -> None:
-        """Starts nothing yet."""
+        """Initializes an empty cluster."""
         self.environment = environment
         self.tasks = tasks
         self.log = fakes.FakeLog()
@@ -103,16 +103,16 @@
         self.peers = fakes.FakePeers()
         self.servers: dict[str, fakes.FakeServer] = {}
         self.nodes: dict[str, Node] = {}
-        self.told: list[Told] = []
+        self.sent_requests: list[SentRequest] = []
         self.published: list[int] = []
-        # The version that each accepted change was an edit of.
-        self._edited: list[int] = []
+        # The version that each accepted change was based on.
+        self._base_versions: list[int] = []
         self.on_lease: Any = lambda server, link, request: None
         self.checks = checks
-        self._randomness = random.Random(seed)
+        self._random_source = random.Random(seed)
 
     async def start(self, instances: int = 4, servers: int = 3) -> None:
-        """Starts everything and waits until all slices are served."""
+        """Starts servers and instances and waits until all keys are served."""
         for number in range(1, servers + 1):
             self.add_server(f"rapor-{number}")
         for number in range(1, instances + 1):
@@ -124,18 +124,18 @@
         self.tasks.start_soon(self._load)
 
     def add_server(self, name: str) -> None:
-        """Starts a backend server and lists it."""
-        rate = self._randomness.uniform(0.9997, 1.0003)
+        """Starts a backend server and adds it to the instance list."""
+        rate = self._random_source.uniform(0.9997, 1.0003)
         clock = fakes.VirtualClock(self.environment, rate)
         server = fakes.FakeServer(name, clock, checks=self.checks)
         server.on_lease = lambda link, request: self.on_lease(
             name, link, request
         )
         self.servers[name] = server
-        self.list_one(name, membership.ListedState.LIVE)
+        self.put_listing(name, membership.ListedState.LIVE)
 
-    def list_one(self, name: str, state: membership.ListedState) -> None:
-        """Puts a server or an instance on the list."""
+    def put_listing(self, name: str, state: membership.ListedState) -> None:
+        """Adds or replaces a server or an instance in the instance list."""
         is_server = name in self.servers
         self.listing.put(
             membership.Listing(
@@ -151,12 +151,12 @@
         )
 
     def add_node(self, name: str) -> Node:
-        """Starts an instance and lists it."""
-        rate = self._randomness.uniform(0.9997, 1.0003)
+        """Starts an instance and adds it to the instance list."""
+        rate = self._random_source.uniform(0.9997, 1.0003)
         clock = fakes.VirtualClock(self.environment, rate)
         link = fakes.Link(name)
         connection = fakes.ServerConnection(self.servers, link, clock)
-        outside = ports.InstancePorts(
+        instance_ports = ports.InstancePorts(
             clock=clock,
             stamps=hybrid_clock.HybridClock(clock),
             log=self.log.connect(link),
@@ -165,17 +165,17 @@
             make_leases=lambda addresses: connection,
             make_backend=lambda settings: connection,
         )
-        entry = instance.Instance(_process_settings(name), outside)
+        entry = instance.Instance(_process_settings(name), instance_ports)
         node = Node(link, entry, entry.control)
         self.nodes[name] = node
         self.peers.nodes[name] = (link, entry)
-        self.list_one(name, membership.ListedState.LIVE)
+        self.put_listing(name, membership.ListedState.LIVE)
         self.tasks.start_soon(entry.run)
         self.tasks.start_soon(self._watch_versions, node)
         return node
 
     async def publish(self, base: int, *, slots: int) -> int:
-        """Appends a change of the settings, as the tool would."""
+        """Appends a settings change, as the command-line tool would."""
         document = build_document(slots=slots, checks=self.checks)
         change = versions.SettingsChange(
             ids.Offset(base), "ayse", "", codec.to_json(document).encode()
@@ -194,13 +194,13 @@
             )
         except log_service.LogError:
             return ids.NO_OFFSET
-        if self.fold().settings.offset == offset:
+        if self.replay_log().settings.offset == offset:
             self.published.append(offset)
-            self._edited.append(base)
+            self._base_versions.append(base)
         return offset
 
-    def fold(self) -> control.ControlState:
-        """Returns what the whole log folds to."""
+    def replay_log(self) -> control.ControlState:
+        """Returns the state after all records of the log."""
         clock = hybrid_clock.HybridClock(fakes.VirtualClock(self.environment))
         state = control.ControlState(
             rings.Ring(rings.RingSettings("checker"), clock)
@@ -211,15 +211,15 @@
 
     def find_coordinator(self) -> Node:
         """Returns the instance that coordinates the service."""
-        return self.nodes[self.fold().find_cell(SERVICE).coordinator]
+        return self.nodes[self.replay_log().find_cell(SERVICE).coordinator]
 
     def find_front(self, server: str) -> Node:
         """Returns the instance that fronts a server."""
-        cell = self.fold().find_cell(SERVICE)
+        cell = self.replay_log().find_cell(SERVICE)
         return self.nodes[cell.fronts[ids.ServerId(server)].front]
 
-    def list_running(self) -> list[Node]:
-        """Returns the instances that take requests at the moment."""
+    def list_ready(self) -> list[Node]:
+        """Returns the running instances that are ready."""
         return [
             node
             for node in self.nodes.values()
@@ -228,38 +228,42 @@
         ]
 
     async def is_served(self) -> bool:
-        """Returns whether every key is answered through every instance."""
-        nodes = self.list_running()
+        """Returns whether a request for every key is answered.
+
+        The requests are spread over all ready instances.
+        """
+        nodes = self.list_ready()
         if not nodes:
             return False
-        asked = []
+        sent_requests = []
         async with anyio.create_task_group() as tasks:
-            for number in range(_KEYS):
-                told = self._note(f"key-{number}")
-                asked.append(told)
+            for number in range(_KEY_COUNT):
+                sent = self._record_request(f"key-{number}")
+                sent_requests.append(sent)
                 node = nodes[number % len(nodes)]
-                tasks.start_soon(self._send, node, told)
+                tasks.start_soon(self._send, node, sent)
         return all(
-            isinstance(told.outcome, outcomes.Answered) for told in asked
+            isinstance(sent.outcome, outcomes.Answered)
+            for sent in sent_requests
         )
 
-    def _note(self, key: str) -> Told:
-        """Keeps a request that is about to be sent."""
-        number = len(self.told)
-        told = Told(float(self.environment.now), key, f"r{number}", None)
-        self.told.append(told)
-        return told
+    def _record_request(self, key: str) -> SentRequest:
+        """Records a request that is about to be sent."""
+        number = len(self.sent_requests)
+        sent = SentRequest(float(self.environment.now), key, f"r{number}", None)
+        self.sent_requests.append(sent)
+        return sent
 
-    async def _send(self, node: Node, told: Told) -> None:
-        """Sends one request and keeps what was told."""
+    async def _send(self, node: Node, sent: SentRequest) -> None:
+        """Sends a request and records its outcome."""
         request = requests.Request(
-            request_id=told.request_id,
+            request_id=sent.request_id,
             service=SERVICE,
-            key=told.key,
+            key=sent.key,
             caller="mufettis-demir",
             tier="inspector",
             method="PUT",
-            target=f"/v1/rapor/{told.key}",
+            target=f"/v1/rapor/{sent.key}",
             headers=(),
             body=b"",
             deadline_s=node.entry.now_s() + DEADLINE_S,
@@ -267,25 +271,25 @@
         )
         with anyio.move_on_after(DEADLINE_S * 1.5):
             outcome = await node.entry.handle(request)
-            await node.link.gate()
-            told.outcome = outcome
+            await node.link.wait_until_running()
+            sent.outcome = outcome
 
     async def _load(self) -> None:
-        """Sends requests for ever, through any of the instances."""
+        """Sends requests through random instances until cancelled."""
         number = 0
         while True:
-            nodes = self.list_running()
+            nodes = self.list_ready()
             if nodes:
-                # Every key must come through every instance, or nobody sees
-                # that two of them send it to different servers.
-                node = self._randomness.choice(nodes)
-                told = self._note(f"key-{number % _KEYS}")
-                self.tasks.start_soon(self._send, node, told)
+                # Requests for a key must come through every instance: only then
+                # does it show if two instances send them to different servers.
+                node = self._random_source.choice(nodes)
+                sent = self._record_request(f"key-{number % _KEY_COUNT}")
+                self.tasks.start_soon(self._send, node, sent)
             number += 1
-            await anyio.sleep(_PACE_S)
+            await anyio.sleep(_LOAD_INTERVAL_S)
 
     async def _watch_versions(self, node: Node) -> None:
-        """Keeps the versions that an instance had in force."""
+        """Records the settings versions that an instance has in force."""
         while True:
             version = node.state.settings.offset
             if not node.versions or node.versions[-1] != version:
@@ -293,12 +297,12 @@
             await node.state.changed.wait(0.5)
 
     def list_violations(self) -> list[str]:
-        """Returns everything that must never happen and did."""
+        """Returns all violations of the guarantees."""
         journal = [e for s in self.servers.values() for e in s.journal]
         not_run = [
-            told.request_id
-            for told in self.told
-            if isinstance(told.outcome, outcomes.NotRun)
+            sent.request_id
+            for sent in self.sent_requests
+            if isinstance(sent.outcome, outcomes.NotRun)
         ]
         found = [
             f"{violation.rule}: {violation.detail}"
@@ -310,27 +314,30 @@
         for name, node in self.nodes.items():
             if node.versions != sorted(node.versions):
                 found.append(f"{name} reverted settings: {node.versions}")
-        return found + self._list_lost()
+        return found + self._list_lost_records()
 
-    def _list_lost(self) -> list[str]:
-        """Returns acknowledged records that a reader does not have."""
-        whole = self.fold()
+    def _list_lost_records(self) -> list[str]:
+        """Returns violations by records that are lost or read differently."""
+        full_state = self.replay_log()
         found = []
-        if self.published and self.published[-1] > whole.settings.offset:
+        if self.published and self.published[-1] > full_state.settings.offset:
             found.append("a published version is lost")
-        if len(set(self._edited)) < len(self._edited):
-            found.append("two changes of one version were accepted")
-        expected = whole.find_cell(SERVICE).to_snapshot()
+        if len(set(self._base_versions)) < len(self._base_versions):
+            found.append("two changes based on the same version were accepted")
+        expected = full_state.find_cell(SERVICE).to_snapshot()
         for name, node in self.nodes.items():
-            if node.link.lost or node.state.next_offset < whole.next_offset:
+            if (
+                node.link.lost
+                or node.state.next_offset < full_state.next_offset
+            ):
                 continue
             if node.state.find_cell(SERVICE).to_snapshot() != expected:
-                found.append(f"{name} folds the log to another state")
+                found.append(f"{name} read the whole log but has another state")
         return found
 
 
 def _process_settings(name: str) -> process.ProcessSettings:
-    """Returns the settings of an instance; its addresses are not used."""
+    """Returns the settings of an instance, with addresses that are not used."""
     return process.ProcessSettings(
         instance=name,
         house="karatas",
--- a/tests/matrix/conftest.py
+++ b/tests/matrix/conftest.py
@@ -1,4 +1,4 @@
-"""Takes a guard out if the environment names one."""
+"""Disables a guard if an environment variable names one."""
 
 import os
 
--- a/tests/matrix/fakes.py
+++ b/tests/matrix/fakes.py
@@ -1,7 +1,7 @@
-"""Small fakes at the interfaces of an instance, with faults.
+"""Small fakes of the interfaces of an instance, with fault injection.
 
-A paused instance neither sends nor receives: every fake waits at its gate
-before and after each call. What was already under way goes on.
+A paused instance neither sends nor receives: every fake waits before and after
+each call until the instance runs. What is already in transit continues.
 """
 
 import asyncio
@@ -24,35 +24,35 @@
 from bridgecross_standins import backend_standin
 
 CRASH_AFTER_S = 0.02
-RETURNS_AFTER_S = 1.2
+RESTART_AFTER_S = 1.2
 LATENCY_S = 0.002
 
 
 @dataclasses.dataclass
 class Link:
-    """How an instance is connected, and whether it runs."""
+    """The connections of an instance, and whether its process runs."""
 
     # The instance's name.
     name: str
-    # Whether the process is stopped, as by SIGSTOP.
+    # Whether the process is suspended, as by SIGSTOP.
     paused: bool = False
-    # Whether the process is gone.
+    # Whether the process has ended.
     lost: bool = False
-    # Whether it can reach the log.
+    # Whether it can reach the log service.
     log: bool = True
-    # Whether it can reach other instances, and they it.
+    # Whether it and the other instances can reach each other.
     peers: bool = True
     # The servers that it cannot reach.
     unreachable: set[str] = dataclasses.field(default_factory=set)
 
-    async def gate(self) -> None:
-        """Waits while the instance is paused; for ever if it is lost."""
+    async def wait_until_running(self) -> None:
+        """Waits while the instance is paused; forever if it is lost."""
         while self.paused or self.lost:
             await anyio.sleep(0.05)
 
 
 class VirtualClock:
-    """An instance's or a server's clock, which may run fast or slow."""
+    """The clock of an instance or a server, which may run fast or slow."""
 
     def __init__(
         self, environment: simpy.Environment, rate: float = 1.0
@@ -61,7 +61,7 @@
         self._rate = rate
 
     def monotonic_s(self) -> float:
-        """Returns virtual seconds at this clock's rate."""
+        """Returns the virtual time at this clock's rate, in seconds."""
         return 1_000.0 + float(self._environment.now) * self._rate
 
     def wall_s(self) -> float:
@@ -70,7 +70,7 @@
 
 
 class FakeLog:
-    """The log in memory. ``on_append`` is told the kind of each record."""
+    """A log in memory; calls ``on_append`` before each append."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[bytes]] = {}
@@ -83,7 +83,7 @@
         self.appended = notifier.Notifier()
 
     def connect(self, link: Link) -> "LogConnection":
-        """Returns the log as one instance reaches it."""
+        """Returns the connection of an instance to the log."""
         return LogConnection(self, link)
 
 
@@ -99,10 +99,10 @@
 
     async def append(self, stream: str, data: bytes) -> ids.Offset:
         """Appends a record; see ``service.LogService``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         envelope = log_records.decode_envelope(data)
         self._log.on_append(self._link, envelope)
-        await self._link.gate()
+        await self._link.wait_until_running()
         await anyio.sleep(LATENCY_S + self._log.delay_s)
         if not self._is_up():
             raise log_service.AppendOutcomeUnknownError("no answer")
@@ -116,14 +116,14 @@
         records.append(data)
         self._log.appended.notify()
         offset = ids.Offset(len(records) - 1)
-        await self._link.gate()
+        await self._link.wait_until_running()
         return offset
 
     async def read(
         self, stream: str, from_offset: ids.Offset, wait_ms: int
     ) -> log_service.ReadBatch:
         """Reads a stream; see ``service.LogService``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         await anyio.sleep(LATENCY_S + self._log.delay_s)
         records = self._log.streams.setdefault(stream, [])
         first = self._log.first.get(stream, 0)
@@ -143,42 +143,42 @@
             ids.Offset(first),
             ids.Offset(len(records)),
         )
-        await self._link.gate()
+        await self._link.wait_until_running()
         return batch
 
 
 class FakeList:
-    """The instance list, which may lag."""
+    """An instance list, which may be out of date."""
 
     def __init__(self, environment: simpy.Environment) -> None:
         self._environment = environment
-        self._views: list[tuple[float, dict[str, membership.Listing]]] = [
+        self._versions: list[tuple[float, dict[str, membership.Listing]]] = [
             (0.0, {})
         ]
         self.lag_s = 0.0
 
     def put(self, listing: membership.Listing) -> None:
-        """Adds or changes a line."""
-        view = self._views[-1][1] | {listing.name: listing}
-        self._views.append((float(self._environment.now), view))
+        """Adds or replaces an entry."""
+        version = self._versions[-1][1] | {listing.name: listing}
+        self._versions.append((float(self._environment.now), version))
 
     def delete(self, name: str) -> None:
-        """Removes a line."""
-        view = {n: v for n, v in self._views[-1][1].items() if n != name}
-        self._views.append((float(self._environment.now), view))
+        """Removes an entry."""
+        version = {n: v for n, v in self._versions[-1][1].items() if n != name}
+        self._versions.append((float(self._environment.now), version))
 
     def connect(self, link: Link) -> "ListConnection":
-        """Returns the list as one instance reads it."""
+        """Returns the connection of an instance to the list."""
         return ListConnection(self, link)
 
-    def show(self) -> list[membership.Listing]:
-        """Returns the list as it was a while ago."""
+    def get_listings(self) -> list[membership.Listing]:
+        """Returns the list as it was ``lag_s`` ago."""
         at_s = self._environment.now - self.lag_s
-        view = next(
-            (v for since, v in reversed(self._views) if since <= at_s),
-            self._views[0][1],
+        version = next(
+            (v for since, v in reversed(self._versions) if since <= at_s),
+            self._versions[0][1],
         )
-        return list(view.values())
+        return list(version.values())
 
 
 class ListConnection:
@@ -190,19 +190,19 @@
 
     async def read(self) -> list[membership.Listing]:
         """Reads the list; see ``ports.InstanceListSource``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         await anyio.sleep(LATENCY_S)
-        return self._listing.show()
+        return self._listing.get_listings()
 
 
 class FakePeers:
-    """Carries calls between instances; knows each by its address."""
+    """Carries calls between instances, which it finds by address."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, tuple[Link, Any]] = {}
 
     def connect(self, link: Link) -> "PeerConnection":
-        """Returns the peers as one instance reaches them."""
+        """Returns the connection of an instance to its peers."""
         return PeerConnection(self, link)
 
 
@@ -221,21 +221,23 @@
         timeout_s: float,
     ) -> Any:
         """Calls an instance; see ``ports.PeerCaller``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         link, node = self._peers.nodes[address]
         if link.lost:
-            raise peer_protocol.PeerUnreachableError("gone", never_sent=True)
+            raise peer_protocol.PeerUnreachableError(
+                "instance lost", never_sent=True
+            )
         reply = None
         with anyio.move_on_after(timeout_s):
             await anyio.sleep(LATENCY_S)
             if link.peers and self._link.peers:
-                await link.gate()
+                await link.wait_until_running()
                 reply = await getattr(node, _METHODS[method.name])(request)
-                await link.gate()
+                await link.wait_until_running()
                 await anyio.sleep(LATENCY_S)
             else:
                 await anyio.sleep_forever()
-        await self._link.gate()
+        await self._link.wait_until_running()
         if reply is None or not (link.peers and self._link.peers):
             raise peer_protocol.PeerUnreachableError(
                 "timeout", never_sent=False
@@ -255,7 +257,7 @@
 
 
 class FakeServer:
-    """A backend server: what ``docs/server-contract.md`` asks for."""
+    """A backend server that follows ``docs/server-contract.md``."""
 
     def __init__(self, name: str, clock: VirtualClock, *, checks: bool) -> None:
         self.name = name
@@ -274,61 +276,61 @@
         self._lease_until_ms = 0.0
         self._lease_number = 0
         self._running: list[backends.Fence] = []
-        # Requests by their target that end this server, and when each began.
+        # The targets of requests that crash this server, and when each began.
         self.deadly: set[str] = set()
-        self.deadly_runs_s: list[float] = []
-        # Requests by their target that are answered with an error.
+        self.deadly_run_times_s: list[float] = []
+        # The targets of requests that are answered with an error.
         self.failing: set[str] = set()
-        self.ends_s: list[float] = []
+        self.crash_times_s: list[float] = []
 
-    async def _end_by_request(self) -> outcomes.Outcome:
-        """Ends this run a little later; another one begins after it."""
-        self.deadly_runs_s.append(self._clock.wall_s())
+    async def _crash_by_request(self) -> outcomes.Outcome:
+        """Crashes the server after ``CRASH_AFTER_S``."""
+        self.deadly_run_times_s.append(self._clock.wall_s())
         await anyio.sleep(CRASH_AFTER_S)
         self.crash()
         return outcomes.Unknown("the connection ended")
 
     def crash(self) -> None:
-        """Ends this run; another one begins after it."""
+        """Ends this run of the server; a new run starts later."""
         if not self.lost:
             self.lost = True
-            self.ends_s.append(self._clock.wall_s())
+            self.crash_times_s.append(self._clock.wall_s())
             loop = asyncio.get_running_loop()
-            loop.call_later(RETURNS_AFTER_S, self._start_again)
+            loop.call_later(RESTART_AFTER_S, self._restart)
 
-    def _start_again(self) -> None:
-        """Begins a run that holds and knows nothing."""
+    def _restart(self) -> None:
+        """Starts a new run without leases or tokens."""
         self.lost = False
-        self._incarnation = f"run-{len(self.ends_s) + 1}"
+        self._incarnation = f"run-{len(self.crash_times_s) + 1}"
         self._front_token = -1
         self._sequence = 0
         self._grants = {}
         self._lease_until_ms = 0.0
 
-    async def stand(self) -> None:
-        """Waits while the server is frozen; for ever once it is lost."""
+    async def wait_until_running(self) -> None:
+        """Waits while the server is frozen or lost."""
         while self.frozen or self.lost:
             await anyio.sleep(0.05)
 
     def _now_ms(self) -> float:
         return self._clock.monotonic_s() * 1_000
 
-    def exchange(self, asked: leases.LeaseRequest) -> leases.LeaseReply:
-        """Takes a lease exchange."""
-        same = asked.front_token == self._front_token
+    def exchange(self, request: leases.LeaseRequest) -> leases.LeaseReply:
+        """Handles a lease exchange."""
+        is_same_front = request.front_token == self._front_token
         accepted = (
             not self._checks
-            or asked.front_token > self._front_token
-            or (same and asked.sequence > self._sequence)
+            or request.front_token > self._front_token
+            or (is_same_front and request.sequence > self._sequence)
         )
         if accepted:
-            self._front_token = asked.front_token
-            self._sequence = asked.sequence
-            self._grants = {g.slice: g.token for g in asked.grants}
+            self._front_token = request.front_token
+            self._sequence = request.sequence
+            self._grants = {g.slice: g.token for g in request.grants}
             if self._now_ms() >= self._lease_until_ms:
                 self._lease_number += 1
-            if asked.echo and asked.echo.incarnation == self._incarnation:
-                until_ms = asked.echo.reading_ms + asked.lease_ms
+            if request.echo and request.echo.incarnation == self._incarnation:
+                until_ms = request.echo.reading_ms + request.lease_ms
                 self._lease_until_ms = max(self._lease_until_ms, until_ms)
         held = set(self._grants.items())
         held |= {(f.slice, f.token) for f in self._running}
@@ -344,7 +346,7 @@
         )
 
     def is_fenced(self, fence: backends.Fence) -> bool:
-        """Returns whether the fence forbids a request that has come."""
+        """Returns whether a request must be refused for its tokens or lease."""
         return self._checks and (
             self._now_ms() >= self._lease_until_ms
             or self._grants.get(fence.slice) != fence.token
@@ -354,26 +356,26 @@
     async def run(
         self, request: requests.Request, fence: backends.Fence, until_s: float
     ) -> outcomes.Outcome:
-        """Runs a request; its effect is at the end."""
+        """Runs a request, which takes effect at its end."""
         began_s = self._clock.wall_s()
         if self.is_fenced(fence):
             return _refuse("fence", reroute=True)
         if request.target in self.deadly:
-            return await self._end_by_request()
-        number = self._lease_number
-        ends_count = len(self.ends_s)
+            return await self._crash_by_request()
+        lease_number = self._lease_number
+        crash_count = len(self.crash_times_s)
         self._running.append(fence)
         try:
             await anyio.sleep(self.service_s)
-            if len(self.ends_s) > ends_count:
+            if len(self.crash_times_s) > crash_count:
                 return outcomes.Unknown("the connection ended")
-            await self.stand()
+            await self.wait_until_running()
         finally:
             self._running.remove(fence)
         if self._clock.wall_s() > until_s:
             return _refuse("deadline", reroute=False)
-        lapsed = self._now_ms() >= self._lease_until_ms
-        if self._checks and (lapsed or number != self._lease_number):
+        has_expired = self._now_ms() >= self._lease_until_ms
+        if self._checks and (has_expired or lease_number != self._lease_number):
             return _refuse("fence", reroute=True)
         self.journal.append(
             backend_standin.JournalEntry(
@@ -397,7 +399,7 @@
 
 
 class ServerConnection:
-    """Lease transport and backend for one instance."""
+    """The lease transport and the backend of one instance."""
 
     def __init__(
         self, servers: dict[str, FakeServer], link: Link, clock: VirtualClock
@@ -406,28 +408,28 @@
         self._link = link
         self._clock = clock
 
-    def _reach(self, name: str) -> FakeServer | None:
+    def _find_reachable(self, name: str) -> FakeServer | None:
         server = self._servers[name]
-        cut = server.lost or name in self._link.unreachable
-        return None if cut else server
+        is_unreachable = server.lost or name in self._link.unreachable
+        return None if is_unreachable else server
 
     async def exchange(
         self, server: ids.ServerId, request: leases.LeaseRequest
     ) -> leases.LeaseReply:
         """Exchanges a lease; see ``leases.LeaseTransport``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         self._servers[server].on_lease(self._link, request)
-        await self._link.gate()
+        await self._link.wait_until_running()
         await anyio.sleep(LATENCY_S)
-        target = self._reach(server)
+        target = self._find_reachable(server)
         if target is None:
             await anyio.sleep(0.05)
             raise leases.ServerUnreachableError("refused")
-        await target.stand()
+        await target.wait_until_running()
         reply = target.exchange(request)
         await anyio.sleep(LATENCY_S)
-        await self._link.gate()
-        if self._reach(server) is None:
+        await self._link.wait_until_running()
+        if self._find_reachable(server) is None:
             raise leases.ServerUnreachableError("reset")
         return reply
 
@@ -439,34 +441,34 @@
         limit: backends.Limit,
     ) -> outcomes.Outcome:
         """Sends a request; see ``backends.Backend``."""
-        await self._link.gate()
+        await self._link.wait_until_running()
         outcome: outcomes.Outcome = outcomes.Unknown("no answer")
         with anyio.move_on_after(limit.left_s):
             await anyio.sleep(LATENCY_S)
-            target = self._reach(address)
+            target = self._find_reachable(address)
             if target is None:
                 return outcomes.NotRun(
                     outcomes.NotRunProof.NEVER_WRITTEN, "refused", reroute=True
                 )
-            await target.stand()
+            await target.wait_until_running()
             outcome = await target.run(request, fence, limit.until_unix_s)
             await anyio.sleep(LATENCY_S)
-            if self._reach(address) is None:
+            if self._find_reachable(address) is None:
                 outcome = outcomes.Unknown("reset")
-        await self._link.gate()
+        await self._link.wait_until_running()
         return outcome
 
     async def is_refusing(self, address: str) -> bool:
-        """Whether no process listens; see ``backends.Backend``."""
-        await self._link.gate()
+        """Returns whether no process listens; see ``backends.Backend``."""
+        await self._link.wait_until_running()
         await anyio.sleep(LATENCY_S)
         return self._servers[address].lost
 
     def replace_settings(self, settings: backends.BackendSettings) -> None:
-        """Has nothing to change."""
+        """Does nothing; see ``backends.Backend``."""
 
     async def aclose(self) -> None:
-        """Has nothing to close."""
+        """Does nothing; see ``backends.Backend``."""
 
 
 def _refuse(reason: str, *, reroute: bool) -> outcomes.NotRun:
--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -1,6 +1,6 @@
-"""Takes each guard out in turn and counts the cells that go red.
+"""Disables each guard in turn and counts the cases of the matrix that fail.
 
-A matrix that stays green without a guard does not prove that guard.
+A guard is not tested by the matrix if no case fails without it.
 ``python -m tests.matrix.guards`` prints the table of
 ``docs/design/proof.md``.
 """
@@ -24,32 +24,32 @@
 from tests.matrix import fakes
 
 VARIABLE = "WITHOUT_GUARD"
-"""The environment variable that names the guard to take out."""
+"""The environment variable that names the guard to disable."""
 
-_WORKERS = "5"
-_CELLS = (
+_WORKER_COUNT = "5"
+_CASES = (
     "test_outage or test_fault_at_step"
     " and (slow or isolated or paused or acknowledgements or race)"
 )
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def _fold_without(word: str) -> Patch:
-    """Returns a patch that lets one fault of an assignment pass."""
+def _skip_assignment_check(reason_prefix: str) -> Patch:
+    """Returns a patch that accepts one kind of invalid assignment."""
 
     def patch(monkeypatch: pytest.MonkeyPatch) -> None:
         original = cell.Cell._find_violation
 
         def find_violation(self: cell.Cell, assignment: Any) -> str:
             reason = original(self, assignment)
-            return "" if reason.startswith(word) else reason
+            return "" if reason.startswith(reason_prefix) else reason
 
         monkeypatch.setattr(cell.Cell, "_find_violation", find_violation)
 
     return patch
 
 
-def _claims_always_valid(monkeypatch: pytest.MonkeyPatch) -> None:
+def _accept_every_claim(monkeypatch: pytest.MonkeyPatch) -> None:
     original = cell.Cell._apply_claim
 
     def apply_claim(self: cell.Cell, offset: Any, claim: Any) -> Any:
@@ -58,7 +58,7 @@
     monkeypatch.setattr(cell.Cell, "_apply_claim", apply_claim)
 
 
-def _settings_without_base(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_settings_base(monkeypatch: pytest.MonkeyPatch) -> None:
     def apply(self: versions.SettingsState, record: Any) -> Any:
         change = versions._CHANGES.decode(record.envelope.body)
         return self._activate(
@@ -70,32 +70,32 @@
     monkeypatch.setattr(versions.SettingsState, "apply", apply)
 
 
-def _no_blockers(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_prior_owners(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         _prior_owners.PriorOwners, "is_free", lambda self, index: True
     )
 
 
-def _lease_never_awaited(monkeypatch: pytest.MonkeyPatch) -> None:
+def _skip_lease_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         leases.LeaseTerm, "over_at_s", property(lambda self: 0.0)
     )
 
 
-def _always_authority(monkeypatch: pytest.MonkeyPatch) -> None:
+def _grant_authority_always(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         authority.Authority, "may_act_as_front", lambda self, witnesses: True
     )
 
 
-def _witnesses_not_asked(monkeypatch: pytest.MonkeyPatch) -> None:
+def _skip_witnesses(monkeypatch: pytest.MonkeyPatch) -> None:
     async def has_read(self: Any, instance: Any, offset: Any) -> bool:
         return True
 
     monkeypatch.setattr(_peer_log_reader.PeerLogReader, "has_read", has_read)
 
 
-def _earlier_fronts_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_earlier_fronts(monkeypatch: pytest.MonkeyPatch) -> None:
     original = lease_manager.LeaseManager.__init__
 
     def build(self: Any, *arguments: Any, **options: Any) -> None:
@@ -106,7 +106,7 @@
     monkeypatch.setattr(lease_manager.LeaseManager, "__init__", build)
 
 
-def _held_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_held_grants(monkeypatch: pytest.MonkeyPatch) -> None:
     original = lease_manager.LeaseManager._has_released
 
     def has_released(self: Any, wanted: Any) -> bool:
@@ -118,7 +118,7 @@
     )
 
 
-def _busy_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_running_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         lease_manager.LeaseManager, "begin_request", lambda self, index: None
     )
@@ -129,7 +129,7 @@
     )
 
 
-def _always_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def _skip_lease_check(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         lease_manager.LeaseManager,
         "is_open",
@@ -137,7 +137,7 @@
     )
 
 
-def _server_fence_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def _disable_server_fence(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         fakes.FakeServer, "is_fenced", lambda self, fence: False
     )
@@ -150,53 +150,57 @@
     monkeypatch.setattr(fakes.FakeServer, "__init__", build)
 
 
-def _lease_from_receipt(monkeypatch: pytest.MonkeyPatch) -> None:
+def _start_lease_at_receipt(monkeypatch: pytest.MonkeyPatch) -> None:
     original = fakes.FakeServer.exchange
 
-    def exchange(self: Any, asked: Any) -> Any:
-        reply = original(self, asked)
-        if reply.accepted and asked.echo is not None:
-            self._lease_until_ms = self._now_ms() + asked.lease_ms
+    def exchange(self: Any, request: Any) -> Any:
+        reply = original(self, request)
+        if reply.accepted and request.echo is not None:
+            self._lease_until_ms = self._now_ms() + request.lease_ms
         return reply
 
     monkeypatch.setattr(fakes.FakeServer, "exchange", exchange)
 
 
-def _old_fronts_obeyed(monkeypatch: pytest.MonkeyPatch) -> None:
+def _accept_earlier_fronts(monkeypatch: pytest.MonkeyPatch) -> None:
     original = fakes.FakeServer.exchange
 
-    def exchange(self: Any, asked: Any) -> Any:
-        self._front_token = min(self._front_token, asked.front_token)
+    def exchange(self: Any, request: Any) -> Any:
+        self._front_token = min(self._front_token, request.front_token)
         self._sequence = 0
-        return original(self, asked)
+        return original(self, request)
 
     monkeypatch.setattr(fakes.FakeServer, "exchange", exchange)
 
 
 GUARDS: dict[str, Patch] = {
-    "fold: a claim ends the newest term": _claims_always_valid,
-    "fold: an assignment is of the newest term": _fold_without("is of term"),
-    "fold: an assignment builds on the newest": _fold_without("builds on"),
-    "settings: a change edits the newest": _settings_without_base,
-    "keeper: earlier owners let go first": _no_blockers,
-    "keeper: a lost server's lease is waited for": _lease_never_awaited,
-    "keeper: what the server still holds": _held_ignored,
-    "keeper: earlier fronts are stopped first": _earlier_fronts_ignored,
-    "keeper: requests under way hold a slice": _busy_ignored,
-    "runner: the last look before sending": _always_open,
-    "authority: news must be fresh": _always_authority,
-    "authority: witnesses must have read": _witnesses_not_asked,
-    "server: the fence": _server_fence_off,
-    "server: a lease counts from the echo": _lease_from_receipt,
-    "server: an earlier front is refused": _old_fronts_obeyed,
+    "fold: a claim ends the newest term": _accept_every_claim,
+    "fold: an assignment is of the newest term": _skip_assignment_check(
+        "is of term"
+    ),
+    "fold: an assignment builds on the newest": _skip_assignment_check(
+        "builds on"
+    ),
+    "settings: a change edits the newest": _ignore_settings_base,
+    "keeper: earlier owners let go first": _ignore_prior_owners,
+    "keeper: a lost server's lease is waited for": _skip_lease_wait,
+    "keeper: what the server still holds": _ignore_held_grants,
+    "keeper: earlier fronts are stopped first": _ignore_earlier_fronts,
+    "keeper: requests under way hold a slice": _ignore_running_requests,
+    "runner: the last look before sending": _skip_lease_check,
+    "authority: news must be fresh": _grant_authority_always,
+    "authority: witnesses must have read": _skip_witnesses,
+    "server: the fence": _disable_server_fence,
+    "server: a lease counts from the echo": _start_lease_at_receipt,
+    "server: an earlier front is refused": _accept_earlier_fronts,
 }
-"""The guards by name."""
+"""The patches that disable the guards, by the name of the guard."""
 
 
 def main() -> int:
-    """Runs the matrix without each guard and prints what went red."""
+    """Runs the matrix without each guard and prints how many cases fail."""
     print(f"{'guard taken out':<46}{'red':>5}{'of':>6}")
-    silent = 0
+    untested = 0
     for name in sys.argv[1:] or GUARDS:
         run = subprocess.run(
             [
@@ -206,10 +210,10 @@
                 "tests/matrix",
                 "--override-ini=addopts=--import-mode=importlib -q",
                 "--numprocesses",
-                _WORKERS,
+                _WORKER_COUNT,
                 "--tb=no",
                 "-k",
-                _CELLS,
+                _CASES,
             ],
             env=os.environ | {VARIABLE: name},
             capture_output=True,
@@ -220,10 +224,10 @@
             word: int(number)
             for number, word in re.findall(r"(\d+) (passed|failed)", run.stdout)
         }
-        red = counts.get("failed", 0)
-        silent += not red
-        print(f"{name:<46}{red:>5}{sum(counts.values()):>6}", flush=True)
-    return 1 if silent else 0
+        failed = counts.get("failed", 0)
+        untested += not failed
+        print(f"{name:<46}{failed:>5}{sum(counts.values()):>6}", flush=True)
+    return 1 if untested else 0
 
 
 if __name__ == "__main__":
--- a/tests/matrix/test_matrix.py
+++ b/tests/matrix/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step, and the pairs of faults that can meet."""
+"""Tests every fault at every step, and pairs of overlapping faults."""
 
 import loguru
 import pytest
@@ -7,7 +7,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _quiet():
+def _silence_logs():
     loguru.logger.remove()
 
 
@@ -15,11 +15,11 @@
 @pytest.mark.parametrize("fault", cases.FAULTS)
 @pytest.mark.parametrize("step", cases.STEPS)
 def test_fault_at_step(step, fault, checks):
-    assert cases.run_cell(step, cases.FAULTS[fault], checks=checks) == []
+    assert cases.run_case(step, cases.FAULTS[fault], checks=checks) == []
 
 
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "trusts"])
 @pytest.mark.parametrize("pair", cases.PAIRS)
 @pytest.mark.parametrize("step", ["assign", "renew", "move"])
 def test_pair_at_step(step, pair, checks):
-    assert cases.run_cell(step, cases.PAIRS[pair], checks=checks) == []
+    assert cases.run_case(step, cases.PAIRS[pair], checks=checks) == []
--- a/tests/matrix/test_outage.py
+++ b/tests/matrix/test_outage.py
@@ -1,4 +1,4 @@
-"""Losses while the log is down: service goes on, and nobody overlaps."""
+"""Failures during an outage of the log: keys stay served by one owner each."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,139 +9,145 @@
 import simpy
 
 from bridgecross_emulator import virtual
-from tests.matrix import house as houses
+from tests.matrix import cluster as clusters
 
-_SERVED_WITHIN_S = 10.0
-Story = Callable[[houses.House], Awaitable[None]]
+_SERVED_TIMEOUT_S = 10.0
+Scenario = Callable[[clusters.Cluster], Awaitable[None]]
 
 
-async def _await_service(house: houses.House) -> None:
-    with anyio.fail_after(_SERVED_WITHIN_S):
-        while not await house.is_served():
+async def _await_served(cluster: clusters.Cluster) -> None:
+    with anyio.fail_after(_SERVED_TIMEOUT_S):
+        while not await cluster.is_served():
             await anyio.sleep(0.2)
 
 
-async def _lose_server(house: houses.House) -> None:
-    house.servers["rapor-1"].lost = True
-    await _await_service(house)
+async def _lose_server(cluster: clusters.Cluster) -> None:
+    cluster.servers["rapor-1"].lost = True
+    await _await_served(cluster)
 
 
-async def _freeze_server(house: houses.House) -> None:
-    house.servers["rapor-1"].frozen = True
-    await _await_service(house)
-    house.servers["rapor-1"].frozen = False
+async def _freeze_server(cluster: clusters.Cluster) -> None:
+    cluster.servers["rapor-1"].frozen = True
+    await _await_served(cluster)
+    cluster.servers["rapor-1"].frozen = False
     await anyio.sleep(5.0)
-    await _await_service(house)
+    await _await_served(cluster)
 
 
-async def _cut_front_from_server(house: houses.House) -> None:
-    link = house.find_front("rapor-1").link
+async def _cut_front_from_server(cluster: clusters.Cluster) -> None:
+    link = cluster.find_front("rapor-1").link
     link.unreachable = {"rapor-1"}
-    await _await_service(house)
+    await _await_served(cluster)
     link.unreachable = set()
     await anyio.sleep(3.0)
 
 
-async def _lose_server_then_its_front(house: houses.House) -> None:
-    front = house.find_front("rapor-1")
-    house.servers["rapor-1"].frozen = True
-    await _await_service(house)
+async def _freeze_server_then_lose_its_front(cluster: clusters.Cluster) -> None:
+    front = cluster.find_front("rapor-1")
+    cluster.servers["rapor-1"].frozen = True
+    await _await_served(cluster)
     front.link.lost = True
-    house.servers["rapor-1"].frozen = False
+    cluster.servers["rapor-1"].frozen = False
     await anyio.sleep(5.0)
 
 
-async def _lose_server_then_pause_front(house: houses.House) -> None:
-    front = house.find_front("rapor-1")
-    house.servers["rapor-1"].frozen = True
-    await _await_service(house)
+async def _freeze_server_then_pause_its_front(
+    cluster: clusters.Cluster,
+) -> None:
+    front = cluster.find_front("rapor-1")
+    cluster.servers["rapor-1"].frozen = True
+    await _await_served(cluster)
     front.link.paused = True
-    house.servers["rapor-1"].frozen = False
-    house.log.outage = False
+    cluster.servers["rapor-1"].frozen = False
+    cluster.log.outage = False
     await anyio.sleep(8.0)
     front.link.paused = False
 
 
-async def _lose_server_then_its_heir(house: houses.House) -> None:
-    cell = house.fold().find_cell(houses.SERVICE)
-    heir = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
-    house.servers["rapor-1"].lost = True
-    await _await_service(house)
-    house.servers[heir].frozen = True
+async def _lose_server_then_freeze_its_backup(
+    cluster: clusters.Cluster,
+) -> None:
+    cell = cluster.replay_log().find_cell(clusters.SERVICE)
+    backup = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
+    cluster.servers["rapor-1"].lost = True
+    await _await_served(cluster)
+    cluster.servers[backup].frozen = True
     await anyio.sleep(5.0)
-    house.log.outage = False
+    cluster.log.outage = False
     await anyio.sleep(5.0)
-    house.servers[heir].frozen = False
+    cluster.servers[backup].frozen = False
 
 
-async def _cut_heirs_front_as_the_log_returns(house: houses.House) -> None:
-    cell = house.fold().find_cell(houses.SERVICE)
-    heir = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
-    front = house.find_front(heir)
-    house.servers["rapor-1"].frozen = True
-    await _await_service(house)
+async def _isolate_front_of_backup_as_the_log_returns(
+    cluster: clusters.Cluster,
+) -> None:
+    cell = cluster.replay_log().find_cell(clusters.SERVICE)
+    backup = next(f.backup for s, f in cell.fronts.items() if s == "rapor-1")
+    front = cluster.find_front(backup)
+    cluster.servers["rapor-1"].frozen = True
+    await _await_served(cluster)
     front.link.log = False
     front.link.peers = False
-    house.servers["rapor-1"].frozen = False
-    house.log.outage = False
+    cluster.servers["rapor-1"].frozen = False
+    cluster.log.outage = False
     await anyio.sleep(8.0)
     front.link.log = True
     front.link.peers = True
 
 
-async def _lose_front(house: houses.House) -> None:
-    house.find_front("rapor-1").link.lost = True
+async def _lose_front(cluster: clusters.Cluster) -> None:
+    cluster.find_front("rapor-1").link.lost = True
     await anyio.sleep(5.0)
 
 
-async def _start_instance(house: houses.House) -> None:
-    node = house.add_node("entry-5")
-    with anyio.fail_after(_SERVED_WITHIN_S):
+async def _start_instance(cluster: clusters.Cluster) -> None:
+    node = cluster.add_node("entry-5")
+    with anyio.fail_after(_SERVED_TIMEOUT_S):
         while node.entry.describe().not_ready:
             await anyio.sleep(0.2)
-    await _await_service(house)
+    await _await_served(cluster)
 
 
-async def _wait(house: houses.House) -> None:
+async def _wait_five_minutes(cluster: clusters.Cluster) -> None:
     await anyio.sleep(300.0)
-    await _await_service(house)
+    await _await_served(cluster)
 
 
-STORIES: dict[str, Story] = {
-    "five minutes": _wait,
+SCENARIOS: dict[str, Scenario] = {
+    "five minutes": _wait_five_minutes,
     "server lost": _lose_server,
     "server frozen and back": _freeze_server,
     "front cut from its server": _cut_front_from_server,
-    "server lost, then its front": _lose_server_then_its_front,
-    "server lost, its front paused": _lose_server_then_pause_front,
-    "server lost, then its heir": _lose_server_then_its_heir,
-    "heir's front cut off": _cut_heirs_front_as_the_log_returns,
+    "server lost, then its front": _freeze_server_then_lose_its_front,
+    "server lost, its front paused": _freeze_server_then_pause_its_front,
+    "server lost, then its backup": _lose_server_then_freeze_its_backup,
+    "backup's front cut off": _isolate_front_of_backup_as_the_log_returns,
     "front lost": _lose_front,
     "instance started": _start_instance,
 }
 
 
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "trusts"])
-@pytest.mark.parametrize("story", STORIES)
-def test_outage(story, checks):
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_outage(scenario, checks):
     loguru.logger.remove()
     environment = simpy.Environment()
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(environment, tasks, checks=checks)
-            await house.start()
+            cluster = clusters.Cluster(environment, tasks, checks=checks)
+            await cluster.start()
             await anyio.sleep(2.0)
-            house.log.outage = True
+            cluster.log.outage = True
             await anyio.sleep(3.0)
-            await STORIES[story](house)
-            house.log.outage = False
+            await SCENARIOS[scenario](cluster)
+            cluster.log.outage = False
             with anyio.move_on_after(60):
-                while not await house.is_served():
+                while not await cluster.is_served():
                     await anyio.sleep(0.5)
             await anyio.sleep(3.0)
-            assert await house.is_served()
-            assert house.list_violations() == []
+            assert await cluster.is_served()
+            assert cluster.list_violations() == []
             tasks.cancel_scope.cancel()
 
     virtual.run(environment, main)
--- a/tests/matrix/test_repeated_crash.py
+++ b/tests/matrix/test_repeated_crash.py
@@ -1,8 +1,9 @@
-"""A request that ends every server that runs it, at the first entrance.
+"""Requests that crash every server that runs them, in ``bridgecross_daemon``.
 
-As at the other entrance: it came again under another id, and its key had
-another owner each time, since nothing was remembered but ids; and it came from
-many callers, each of whose requests was taken for another one.
+As in ``bridgecross_entry``, the tests guard against two failures: a request was
+not recognized when it came again under another id, and its key had another
+owner each time, because only ids were recorded; and a request from many callers
+was treated as a different request for each caller.
 """
 
 from collections.abc import Awaitable
@@ -17,39 +18,39 @@
 from bridgecross_core import outcomes
 from bridgecross_emulator import virtual
 from bridgecross_request import requests
-from tests.matrix import house as houses
+from tests.matrix import cluster as clusters
 
-KNOWN_WITHIN_S = 0.3
+DETECTION_TIME_S = 0.3
 TARGET = "/v1/rapor/deadly"
 POPULAR = "/v1/rapor/popular"
 
-Told = list[outcomes.Outcome]
+Outcomes = list[outcomes.Outcome]
 
 
-def _name_one(number: int) -> str:
+def _name_single_caller(number: int) -> str:
     return "mufettis-demir"
 
 
-def _name_many(number: int) -> str:
+def _name_many_callers(number: int) -> str:
     return f"mufettis-{number // 2}"
 
 
 async def _keep_calling(
-    house: houses.House,
-    told: Told,
+    cluster: clusters.Cluster,
+    received: Outcomes,
     name_caller: Callable[[int], str],
     target: str = TARGET,
     gap_s: float = 0.25,
 ) -> None:
-    """Sends the request again and again, through any of the instances."""
+    """Sends a request repeatedly through random instances until cancelled."""
     rng = random.Random(1)
     number = 0
     while True:
         number += 1
-        node = rng.choice(house.list_running())
+        node = rng.choice(cluster.list_ready())
         request = requests.Request(
             request_id=f"{target}-{number}",
-            service=houses.SERVICE,
+            service=clusters.SERVICE,
             key="deadly",
             caller=name_caller(number),
             tier="inspector",
@@ -57,27 +58,27 @@
             target=target,
             headers=(),
             body=b"",
-            deadline_s=node.entry.now_s() + houses.DEADLINE_S,
+            deadline_s=node.entry.now_s() + clusters.DEADLINE_S,
             idempotency_key="",
         )
-        told.append(await node.entry.handle(request))
+        received.append(await node.entry.handle(request))
         await anyio.sleep(gap_s)
 
 
-def _play(
-    act: Callable[[houses.House], Awaitable[None]], *, checks: bool
+def _simulate(
+    act: Callable[[clusters.Cluster], Awaitable[None]], *, checks: bool
 ) -> None:
-    """Plays a house until an act is over."""
+    """Simulates a cluster during an act and checks it afterwards."""
     loguru.logger.remove()
     environment = simpy.Environment()
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(environment, tasks, checks=checks)
-            await house.start()
-            await act(house)
-            assert house.list_violations() == []
-            assert await house.is_served()
+            cluster = clusters.Cluster(environment, tasks, checks=checks)
+            await cluster.start()
+            await act(cluster)
+            assert cluster.list_violations() == []
+            assert await cluster.is_served()
             tasks.cancel_scope.cancel()
 
     virtual.run(environment, main)
@@ -86,63 +87,68 @@
 @pytest.mark.parametrize(
     "name_caller",
     [
-        pytest.param(_name_one, id="one caller"),
-        pytest.param(_name_many, id="many callers"),
+        pytest.param(_name_single_caller, id="one caller"),
+        pytest.param(_name_many_callers, id="many callers"),
     ],
 )
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "trusts"])
-def test_a_request_that_ends_its_servers_ends_three_and_no_more(
-    checks, name_caller
-):
-    told: Told = []
-    ends_s: list[float] = []
-    runs_s: list[float] = []
-
-    async def act(house: houses.House) -> None:
-        for server in house.servers.values():
+def test_a_request_that_crashes_servers_crashes_only_three(checks, name_caller):
+    received: Outcomes = []
+    crash_times_s: list[float] = []
+    run_times_s: list[float] = []
+
+    async def act(cluster: clusters.Cluster) -> None:
+        for server in cluster.servers.values():
             server.deadly.add(TARGET)
         with anyio.move_on_after(40.0):
-            await _keep_calling(house, told, name_caller)
-        for server in house.servers.values():
-            ends_s.extend(server.ends_s)
-            runs_s.extend(server.deadly_runs_s)
+            await _keep_calling(cluster, received, name_caller)
+        for server in cluster.servers.values():
+            crash_times_s.extend(server.crash_times_s)
+            run_times_s.extend(server.deadly_run_times_s)
 
-    _play(act, checks=checks)
-    assert len(ends_s) == 3
-    known_s = sorted(ends_s)[2] + KNOWN_WITHIN_S
-    assert [run_s for run_s in runs_s if run_s > known_s] == []
-    assert isinstance(told[-1], outcomes.NotRun)
+    _simulate(act, checks=checks)
+    assert len(crash_times_s) == 3
+    detected_s = sorted(crash_times_s)[2] + DETECTION_TIME_S
+    assert [run_s for run_s in run_times_s if run_s > detected_s] == []
+    assert isinstance(received[-1], outcomes.NotRun)
 
 
-async def _crash_all(house: houses.House) -> None:
-    """Four times, at moments at which most servers have work."""
+async def _crash_all(cluster: clusters.Cluster) -> None:
+    """Crashes all servers four times, while most have requests."""
     for number in range(4):
-        for server in house.servers.values():
+        for server in cluster.servers.values():
             server.crash()
         await anyio.sleep(8.0 + 0.0031 * number)
 
 
 @pytest.mark.parametrize("fails", [False, True], ids=["answered", "errors"])
 def test_a_target_of_many_callers_is_never_refused(fails):
-    told: Told = []
+    received: Outcomes = []
 
-    async def act(house: houses.House) -> None:
-        for server in house.servers.values():
+    async def act(cluster: clusters.Cluster) -> None:
+        for server in cluster.servers.values():
             server.service_s = 0.05
             if fails:
                 server.failing.add(POPULAR)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
                 tasks.start_soon(
-                    _keep_calling, house, told, _name_many, POPULAR, 0.005
+                    _keep_calling,
+                    cluster,
+                    received,
+                    _name_many_callers,
+                    POPULAR,
+                    0.005,
                 )
             await anyio.sleep(2.0)
-            await _crash_all(house)
+            await _crash_all(cluster)
             tasks.cancel_scope.cancel()
 
-    _play(act, checks=True)
+    _simulate(act, checks=True)
     assert not any(
-        "ended while they ran it" in getattr(each, "reason", "")
-        for each in told
+        "ended while they ran it" in getattr(outcome, "reason", "")
+        for outcome in received
+    )
+    assert all(
+        isinstance(outcome, outcomes.Answered) for outcome in received[-40:]
     )
-    assert all(isinstance(each, outcomes.Answered) for each in told[-40:])
--- a/tests/matrix/test_turned_away.py
+++ b/tests/matrix/test_turned_away.py
@@ -1,4 +1,4 @@
-"""The log turns away one instance alone, and goes on for all others."""
+"""The log is unreachable for single instances, but not for the others."""
 
 import anyio
 import loguru
@@ -6,10 +6,11 @@
 import simpy
 
 from bridgecross_emulator import virtual
-from tests.matrix import house as houses
+from tests.matrix import cluster as clusters
 
-# What the users allow from the publication until a version is in force.
-_IN_FORCE_WITHIN_S = 4.0
+# The users' limit for the time from the publication of a version until it is
+# in force.
+_IN_FORCE_TIMEOUT_S = 4.0
 
 
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "trusts"])
@@ -19,23 +20,23 @@
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            house = houses.House(environment, tasks, checks=checks)
-            await house.start()
+            cluster = clusters.Cluster(environment, tasks, checks=checks)
+            await cluster.start()
             await anyio.sleep(2.0)
-            fronts = {house.find_front(s).link.name for s in house.servers}
+            fronts = {cluster.find_front(s).link.name for s in cluster.servers}
             idle = [
-                n for n in house.nodes.values() if n.link.name not in fronts
+                n for n in cluster.nodes.values() if n.link.name not in fronts
             ]
             assert idle, "there are more instances than servers"
             for node in idle:
                 node.link.log = False
             await anyio.sleep(5.0)
-            version = await house.publish(house.published[-1], slots=5)
-            await anyio.sleep(_IN_FORCE_WITHIN_S)
+            version = await cluster.publish(cluster.published[-1], slots=5)
+            await anyio.sleep(_IN_FORCE_TIMEOUT_S)
             in_force = {n.link.name: n.state.settings.offset for n in idle}
             assert in_force == dict.fromkeys(in_force, version)
-            assert await house.is_served()
-            assert house.list_violations() == []
+            assert await cluster.is_served()
+            assert cluster.list_violations() == []
             tasks.cancel_scope.cancel()
 
     virtual.run(environment, main)
