--- a/tests/emulated/test_leaving_word.py
+++ b/tests/emulated/test_leaving_word.py
@@ -1,7 +1,7 @@
-"""When a server gets nothing more whose answers say that it leaves.
+"""The delay until a server whose answers say that it leaves gets no requests.
 
-The bound is 2 s at an instance that passed such an answer on, whatever the list
-of servers says. How the times add up: ``docs/design/what-servers-say.md``.
+The bound is 2 s at an instance that forwarded such an answer, whatever the list
+of servers says. The delays are added up in ``docs/design/what-servers-say.md``.
 """
 
 from unittest import mock
@@ -15,12 +15,12 @@
 from tests.emulated import crash_scene
 
 WITHIN_S = 2.0
-# For so long after the bound nothing may come.
+# How long after the bound no request may arrive.
 QUIET_S = 4.0
 
 
 async def _answer_only(scene, server):
-    """Its entry goes on to say that it stays, in newer and newer words."""
+    """The server keeps writing entries which say that it stays."""
 
 
 async def _make_log_unavailable(scene, server):
@@ -28,74 +28,76 @@
         each.log_client.cut()
 
 
-async def _take_log_away_for_a_while(scene, server):
+async def _make_log_unavailable_for_a_while(scene, server):
     await _make_log_unavailable(scene, server)
     await anyio.sleep(3.0)
     for each in scene.cluster.instances:
         each.log_client.heal()
 
 
-async def _lapse(scene, server):
+async def _expire_entry(scene, server):
     server.reaches_log = False
 
 
-async def _lapse_for_a_while(scene, server):
+async def _expire_entry_for_a_while(scene, server):
     server.reaches_log = False
     await anyio.sleep(5.0)
     server.reaches_log = True
 
 
-async def _take_log_away_and_kill_leader(scene, server):
+async def _make_log_unavailable_and_kill_leader(scene, server):
     await _make_log_unavailable(scene, server)
     await anyio.sleep(0.5)
     scene.cluster.leader.kill()
 
 
-async def _state_it_late(scene, server):
+async def _write_leaving_entry_late(scene, server):
     await anyio.sleep(1.2)
     server.is_leaving = True
     server.write_entry()
 
 
-HAPPENS = {
+FAULTS = {
     "only its answers say so": _answer_only,
     "the log is away": _make_log_unavailable,
-    "the log is away for a while": _take_log_away_for_a_while,
-    "its entry lapses": _lapse,
-    "its entry goes and comes back": _lapse_for_a_while,
-    "the log is away, then the leader": _take_log_away_and_kill_leader,
-    "its entry says so late": _state_it_late,
+    "the log is away for a while": _make_log_unavailable_for_a_while,
+    "its entry lapses": _expire_entry,
+    "its entry goes and comes back": _expire_entry_for_a_while,
+    "the log is away, then the leader": _make_log_unavailable_and_kill_leader,
+    "its entry says so late": _write_leaving_entry_late,
 }
 
 
 def _find_late(cluster):
-    """Returns requests to servers that had told their sender long before."""
-    told_s = {
+    """Returns requests sent too late after their sender learned of it."""
+    reported_s = {
         (sender, name): at_s
         for (sender, name, _), at_s in cluster.fleet.leaving_reported_s.items()
     }
     return [
         run
         for run in cluster.fleet.runs
-        if run.at_s - told_s.get((run.sender, run.server), run.at_s) > WITHIN_S
+        if run.at_s - reported_s.get((run.sender, run.server), run.at_s)
+        > WITHIN_S
     ]
 
 
-def _play(act):
+def _simulate(scenario):
     return crash_scene.Simulation(
         settle_s=6.0, instance_count=4, server_count=4, requests_per_s=80.0
-    ).run(act)
+    ).run(scenario)
 
 
-def _pick(scene, service):
-    """Returns a server of a service."""
+def _find_server(scene, service):
+    """Returns the first server of a service."""
     servers = scene.cluster.fleet.servers.values()
     return next(s for s in servers if s.service == service)
 
 
-# Guards against: a server divided by key said for 12 s in its answers that it
-# leaves while the log was away, and got as many requests as before.
-@pytest.mark.parametrize("happen", HAPPENS.values(), ids=HAPPENS)
+# Guards against ignoring what answers say: a server divided by key said in its
+# answers for 12 s that it leaves while the log was unavailable, and got as many
+# requests as before.
+@pytest.mark.parametrize("inject", FAULTS.values(), ids=FAULTS)
 @pytest.mark.parametrize(
     "service",
     [
@@ -103,32 +105,30 @@
         pytest.param(instances.FREE_SERVICE, id="any"),
     ],
 )
-def test_a_server_that_says_it_leaves_gets_nothing_after_the_bound(
-    service, happen
-):
-    async def act(scene):
-        server = _pick(scene, service)
+def test_a_leaving_server_gets_no_requests_after_the_bound(service, inject):
+    async def scenario(scene):
+        server = _find_server(scene, service)
         server.answers_leaving = True
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(happen, scene, server)
+            tasks.start_soon(inject, scene, server)
             await anyio.sleep(WITHIN_S + QUIET_S)
             tasks.cancel_scope.cancel()
 
-    scene = _play(act)
+    scene = _simulate(scenario)
     assert scene.cluster.fleet.leaving_reported_s
     assert _find_late(scene.cluster) == []
     assert scene.cluster.fleet.overlaps == []
 
 
-def test_the_rest_is_served_while_a_server_says_that_it_leaves():
-    """Its keys move away without a word of the list."""
+def test_requests_are_served_while_a_server_leaves():
+    """Its keys move away although the list does not say that it leaves."""
 
-    async def act(scene):
+    async def scenario(scene):
         for service in (instances.SERVICE, instances.FREE_SERVICE):
-            _pick(scene, service).answers_leaving = True
+            _find_server(scene, service).answers_leaving = True
         await anyio.sleep(6.0)
 
-    scene = _play(act)
+    scene = _simulate(scenario)
     for service in (instances.SERVICE, instances.FREE_SERVICE):
         prefix = f"/{service}/".encode()
         assert scene.served_ratio(6.0, prefix) > 0.99
@@ -138,8 +138,8 @@
 def test_the_next_run_of_a_server_that_left_is_used():
     names = []
 
-    async def act(scene):
-        server = _pick(scene, instances.FREE_SERVICE)
+    async def scenario(scene):
+        server = _find_server(scene, instances.FREE_SERVICE)
         server.answers_leaving = True
         await anyio.sleep(3.0)
         server.crash()
@@ -152,16 +152,16 @@
             if run.at_s > started_s and run.server == server.name
         )
 
-    _play(act)
+    _simulate(scenario)
     assert names
 
 
-def _hear_nothing():
+def _ignore_notices():
     return mock.patch.object(notices.Notices, "record", return_value=None)
 
 
-def _believe_the_newest_entry():
-    """What an entry says of a server undoes what the server said before."""
+def _override_by_entry():
+    """Makes an entry override what the server said in its answers."""
     put = servers.ServerRegistry.put
 
     def undo(self, listed):
@@ -171,40 +171,43 @@
     return mock.patch.object(servers.ServerRegistry, "put", undo)
 
 
-def _use_it_for_good():
+def _use_without_limit():
     return mock.patch.object(
         notices.Notices, "is_past_drain_limit", return_value=False
     )
 
 
 @pytest.mark.parametrize(
-    ("put_back", "happen", "service"),
+    ("put_back", "inject", "service"),
     [
         pytest.param(
-            _hear_nothing, _answer_only, instances.SERVICE, id="nobody hears it"
+            _ignore_notices,
+            _answer_only,
+            instances.SERVICE,
+            id="nobody hears it",
         ),
-        # Keys that have moved away do not come back, whatever an entry says.
+        # Keys that have moved away do not return, whatever an entry says.
         pytest.param(
-            _believe_the_newest_entry,
+            _override_by_entry,
             _answer_only,
             instances.FREE_SERVICE,
             id="an entry undoes it",
         ),
         pytest.param(
-            _use_it_for_good,
+            _use_without_limit,
             _make_log_unavailable,
             instances.SERVICE,
             id="used until its keys move",
         ),
     ],
 )
-def test_a_known_fault_is_found(put_back, happen, service):
-    async def act(scene):
-        server = _pick(scene, service)
+def test_a_known_fault_is_found(put_back, inject, service):
+    async def scenario(scene):
+        server = _find_server(scene, service)
         server.answers_leaving = True
-        await happen(scene, server)
+        await inject(scene, server)
         await anyio.sleep(WITHIN_S + QUIET_S)
 
     with put_back():
-        scene = _play(act)
+        scene = _simulate(scenario)
     assert _find_late(scene.cluster)
--- a/tests/emulated/test_suspended.py
+++ b/tests/emulated/test_suspended.py
@@ -1,14 +1,11 @@
-"""A machine that is suspended: its steady clock and timers miss that time.
-
-What was feared: after a suspension an instance takes all that it knows to be as
-young as it was before. It still leads, gives orders under a claim that others
-have replaced, calls old knowledge fresh, and lets callers wait on.
-
-The cause: the steady clock of a Linux machine stands still while the machine is
-suspended, and so do the timers of the event loop; a process that is only
-stopped shows nothing of this, since both go on then.
-
-What proved it: the tests below, whose hosts have such clocks and timers.
+"""Suspended machines, whose monotonic clock and timers miss that time.
+
+Guards against an instance that treats its state after a suspension as if no
+time had passed: it would still lead, give orders under a claim that others have
+replaced, use stale data as fresh, and let callers wait. On Linux the monotonic
+clock stops while the machine is suspended, and so do the timers of the event
+loop. A stopped process does not show this, since both continue then. The hosts
+in these tests have such clocks and timers.
 """
 
 from collections.abc import Awaitable
@@ -24,15 +21,15 @@
 from bridgecross_entry import attempts
 
 SUSPENDED_S = 5.0
-LEAD_LASTS_S = 1.5
-"""For so long at most an instance may give orders after it was confirmed."""
+LEADERSHIP_S = 1.5
+"""How long at most an instance may give orders after its confirmation."""
 
-TOLD_WITHIN_S = 0.3
-"""After it wakes, whose time is over."""
+ANSWERED_WITHIN_S = 0.3
+"""How soon after the resume a caller past its deadline must be answered."""
 
 
-def _play(
-    act: Callable[[clusters.Cluster], Awaitable[None]], **settings: int
+def _simulate(
+    scenario: Callable[[clusters.Cluster], Awaitable[None]], **settings: int
 ) -> None:
     environment = simpy.Environment()
 
@@ -42,51 +39,51 @@
                 clusters.ClusterSettings(**settings), environment, tasks
             )
             await cluster.start(8.0)
-            await act(cluster)
+            await scenario(cluster)
             cluster.stop()
 
     virtual.run(environment, main)
 
 
-async def _orders_after_waking(cluster: clusters.Cluster) -> list[float]:
-    """Returns when a leader gave orders after it was suspended.
+async def _list_orders_after_resume(cluster: clusters.Cluster) -> list[float]:
+    """Returns the times at which a leader gave orders after its suspension.
 
-    It is cut off from all that could tell it of its successor.
+    The leader is isolated, so that it cannot learn of its successor.
     """
     leader = cluster.leader
     cluster.isolate(leader)
     leader.log_client.cut()
     await cluster.suspend(leader, SUSPENDED_S)
-    woken_s = cluster.now_s
+    resumed_s = cluster.now_s
     orders_s = []
-    while cluster.now_s < woken_s + 2 * LEAD_LASTS_S:
+    while cluster.now_s < resumed_s + 2 * LEADERSHIP_S:
         if leader.parts.cluster_tasks.may_order:
-            orders_s.append(round(cluster.now_s - woken_s, 2))
+            orders_s.append(round(cluster.now_s - resumed_s, 2))
         await anyio.sleep(0.01)
     return orders_s
 
 
-def test_what_is_known_is_as_old_as_it_is():
+def test_a_suspension_counts_towards_the_age_of_state():
     orders_s = []
     ages_s = []
 
-    async def act(cluster: clusters.Cluster) -> None:
-        orders_s.extend(await _orders_after_waking(cluster))
+    async def scenario(cluster: clusters.Cluster) -> None:
+        orders_s.extend(await _list_orders_after_resume(cluster))
         follower = cluster.others()[0]
         follower.log_client.cut()
         cluster.isolate(follower)
         await cluster.suspend(follower, SUSPENDED_S)
         ages_s.append(follower.parts.cluster_state.configuration_age_s)
 
-    _play(act, server_count=3)
+    _simulate(scenario, server_count=3)
     assert orders_s == []
     assert ages_s[0] >= SUSPENDED_S
 
 
-def test_a_caller_whose_time_is_over_is_told_so():
-    told_s = []
+def test_a_caller_past_its_deadline_is_answered():
+    answered_s = []
 
-    async def act(cluster: clusters.Cluster) -> None:
+    async def scenario(cluster: clusters.Cluster) -> None:
         # No server answers in time.
         cluster.fleet.settings = servers.ServerSettings(work_s=10.0)
         instance = cluster.others()[0]
@@ -106,14 +103,14 @@
         async def call() -> None:
             virtual.enter_host(instance.host)
             await instance.request(request)
-            told_s.append(cluster.now_s)
+            answered_s.append(cluster.now_s)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call)
             await anyio.sleep(0.05)
             await cluster.suspend(instance, SUSPENDED_S)
-            woken_s = cluster.now_s
+            resumed_s = cluster.now_s
             await anyio.sleep(1.0)
-        assert told_s[0] - woken_s < TOLD_WITHIN_S
+        assert answered_s[0] - resumed_s < ANSWERED_WITHIN_S
 
-    _play(act, free_server_count=2)
+    _simulate(scenario, free_server_count=2)
--- a/tests/emulated/test_warmup.py
+++ b/tests/emulated/test_warmup.py
@@ -1,13 +1,15 @@
-"""How many requests reach a server that is cold, over all instances.
-
-What was seen: servers that came back after their failure domain had been dark
-got up to 17 requests in a second and servers of a domain that was taken back
-many more, where 16.7 are allowed: each of many instances found them idle and
-near, and counted only what it sent itself.
-
-Nobody sends to a cold server now but under a permit of the one instance that is
-certain to count alone for its failure domain, which gives so few of them that
-two that count at once stay within what is allowed. The sum is in
+"""The rate of requests that reach a cold server from all instances together.
+
+Guards against instances that each limit only their own requests. Servers that
+came back after an outage of their failure domain got up to 17 requests in a
+second, and servers of a domain restored after an evacuation many more, where
+16.7 are allowed: each of many instances found them idle and near, and counted
+only the requests that it sent itself.
+
+A request to a cold server therefore needs a permit of the one instance that
+is certain to count alone for its failure domain. The budget of permits is so
+small that two instances that count at once stay within the limit. The
+calculation is in
 ``docs/design/evacuation-and-warmup.md``.
 """
 
@@ -24,14 +26,14 @@
 from tests.emulated import crash_scene
 
 WARMUP = instances.Warmup()
-# What the platform allows in any second.
+# The requests that the platform allows in any second.
 ALLOWED = 5.8 * 1.5 + 8
 DOMAIN = "zone-1"
 CALLS_PER_S = 150.0
 
 
-def find_overruns(scene: crash_scene.Scene) -> list[tuple[str, float, int]]:
-    """Returns servers that got too much within a second while cold."""
+def find_overloads(scene: crash_scene.Scene) -> list[tuple[str, float, int]]:
+    """Returns servers that got too many requests in a second while cold."""
     times = collections.defaultdict(list)
     for run in scene.cluster.fleet.runs:
         if run.is_cold:
@@ -48,12 +50,12 @@
     return found
 
 
-def play(act, *, seed: int = 1) -> crash_scene.Scene:
-    """Plays a cluster with servers in three failure domains."""
+def simulate(scenario, *, seed: int = 1) -> crash_scene.Scene:
+    """Simulates a cluster with servers in three failure domains."""
 
-    async def act_later(scene):
+    async def delayed(scene):
         await anyio.sleep(2.0)
-        await act(scene)
+        await scenario(scene)
 
     return crash_scene.Simulation(
         instance_count=8,
@@ -61,7 +63,7 @@
         warmup=WARMUP,
         seed=seed,
         requests_per_s=CALLS_PER_S,
-    ).run(act_later)
+    ).run(delayed)
 
 
 def _servers(scene, *domains: str):
@@ -70,8 +72,8 @@
     ]
 
 
-async def _go_dark(scene, *domains: str, for_s=2.0):
-    """The servers of some domains are down, and come back together."""
+async def _restart_servers(scene, *domains: str, for_s=2.0):
+    """Crashes the servers of some domains, and restarts them together."""
     for server in _servers(scene, *domains):
         server.crash()
     await anyio.sleep(for_s)
@@ -79,32 +81,32 @@
         server.start()
 
 
-async def _a_domain_comes_back(scene):
-    await _go_dark(scene, DOMAIN)
+async def _restart_domain(scene):
+    await _restart_servers(scene, DOMAIN)
 
 
-async def _a_domain_comes_back_soon(scene):
-    """Before its entries have lapsed, so that the list says nothing of it."""
-    await _go_dark(scene, DOMAIN, for_s=0.7)
+async def _restart_domain_quickly(scene):
+    """Restarts before the entries expire, so that the list shows no outage."""
+    await _restart_servers(scene, DOMAIN, for_s=0.7)
 
 
-async def _all_come_back(scene):
-    await _go_dark(scene, "zone-0", "zone-1", "zone-2")
+async def _restart_all_domains(scene):
+    await _restart_servers(scene, "zone-0", "zone-1", "zone-2")
 
 
-async def _domains_come_back_in_turn(scene):
+async def _restart_domains_in_turn(scene):
     for domain in ("zone-0", "zone-1", "zone-2"):
-        await _go_dark(scene, domain, for_s=1.5)
+        await _restart_servers(scene, domain, for_s=1.5)
         await anyio.sleep(1.0)
 
 
-async def _a_domain_is_taken_back(scene):
+async def _evacuate_and_restore_domain(scene):
     scene.cluster.evacuate(DOMAIN)
     await anyio.sleep(7.0)
     scene.cluster.end_evacuation(DOMAIN)
 
 
-async def _all_are_taken_back(scene):
+async def _evacuate_and_restore_all_domains(scene):
     for domain in ("zone-0", "zone-1", "zone-2"):
         scene.cluster.evacuate(domain)
     await anyio.sleep(7.0)
@@ -112,30 +114,30 @@
         scene.cluster.end_evacuation(domain)
 
 
-async def _a_leader_goes_meanwhile(scene):
-    await _go_dark(scene, DOMAIN, for_s=1.9)
+async def _restart_leader_meanwhile(scene):
+    await _restart_servers(scene, DOMAIN, for_s=1.9)
     leader = scene.cluster.leader
     leader.kill()
     await anyio.sleep(1.5)
     scene.cluster.restart(leader)
 
 
-async def _some_instances_know_nothing(scene):
-    """They reach neither the log nor the others, but all servers."""
+async def _isolate_instances(scene):
+    """Some instances reach neither the log nor the others, but all servers."""
     for instance in scene.cluster.instances[:3]:
         instance.log_client.cut()
         scene.cluster.isolate(instance)
     await anyio.sleep(1.0)
-    await _go_dark(scene, "zone-0", "zone-1", "zone-2", for_s=3.0)
+    await _restart_servers(scene, "zone-0", "zone-1", "zone-2", for_s=3.0)
     await anyio.sleep(4.0)
     scene.cluster.network.heal()
     for instance in scene.cluster.instances[:3]:
         instance.log_client.heal()
 
 
-async def _instances_stand_still_with_permits(scene):
-    """What they were allowed to send is not sent all at once after it."""
-    await _go_dark(scene, "zone-0", "zone-1", "zone-2")
+async def _pause_instances_with_permits(scene):
+    """Permits must not all be used at once when paused instances resume."""
+    await _restart_servers(scene, "zone-0", "zone-1", "zone-2")
     for _ in range(4):
         frozen = scene.cluster.instances[:4]
         for instance in frozen:
@@ -146,73 +148,73 @@
         await anyio.sleep(0.1)
 
 
-async def _instances_come_and_go(scene):
-    """Another instance ranks first for some of the servers each time."""
+async def _restart_instances_in_turn(scene):
+    """Each time another instance ranks first for some of the servers."""
     for number in range(4):
         instance = scene.cluster.instances[number]
         instance.kill()
-        await _go_dark(scene, DOMAIN, "zone-2", for_s=1.0)
+        await _restart_servers(scene, DOMAIN, "zone-2", for_s=1.0)
         scene.cluster.restart(instance)
         await anyio.sleep(1.0)
 
 
-async def _the_log_is_away(scene):
+async def _make_log_unavailable(scene):
     scene.cluster.log.is_unavailable = True
     await anyio.sleep(1.0)
-    await _go_dark(scene, DOMAIN, for_s=3.0)
+    await _restart_servers(scene, DOMAIN, for_s=3.0)
     await anyio.sleep(3.0)
     scene.cluster.log.is_unavailable = False
 
 
-HAPPENINGS = {
-    "a domain comes back": _a_domain_comes_back,
-    "a domain comes back soon": _a_domain_comes_back_soon,
-    "all come back": _all_come_back,
-    "domains come back in turn": _domains_come_back_in_turn,
-    "a domain is taken back": _a_domain_is_taken_back,
-    "all are taken back": _all_are_taken_back,
-    "a leader goes meanwhile": _a_leader_goes_meanwhile,
-    "some instances know nothing": _some_instances_know_nothing,
-    "instances stand still with permits": _instances_stand_still_with_permits,
-    "instances come and go": _instances_come_and_go,
-    "the log is away": _the_log_is_away,
+FAULTS = {
+    "a domain comes back": _restart_domain,
+    "a domain comes back soon": _restart_domain_quickly,
+    "all come back": _restart_all_domains,
+    "domains come back in turn": _restart_domains_in_turn,
+    "a domain is taken back": _evacuate_and_restore_domain,
+    "all are taken back": _evacuate_and_restore_all_domains,
+    "a leader goes meanwhile": _restart_leader_meanwhile,
+    "some instances know nothing": _isolate_instances,
+    "instances stand still with permits": _pause_instances_with_permits,
+    "instances come and go": _restart_instances_in_turn,
+    "the log is away": _make_log_unavailable,
 }
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("happen", HAPPENINGS.values(), ids=HAPPENINGS)
-def test_a_cold_server_is_not_overrun(happen, seed):
-    async def act(scene):
-        await happen(scene)
+@pytest.mark.parametrize("inject", FAULTS.values(), ids=FAULTS)
+def test_a_cold_server_is_not_overloaded(inject, seed):
+    async def scenario(scene):
+        await inject(scene)
         await anyio.sleep(8.0)
 
-    scene = play(act, seed=seed)
-    assert find_overruns(scene) == []
+    scene = simulate(scenario, seed=seed)
+    assert find_overloads(scene) == []
     assert scene.cluster.fleet.overlaps == []
     ends_s = scene.cluster.now_s
     assert scene.served_ratio(ends_s - 2.0, b"/") > 0.95
 
 
-def test_cold_servers_are_used_where_there_are_no_others():
-    """So much at least that they warm up with work."""
+def test_cold_servers_are_used_when_there_are_no_others():
+    """Cold servers must get enough requests to warm up by them."""
 
-    async def act(scene):
-        await _all_come_back(scene)
+    async def scenario(scene):
+        await _restart_all_domains(scene)
         await anyio.sleep(2.9)
 
-    scene = play(act)
+    scene = simulate(scenario)
     cold = [run for run in scene.cluster.fleet.runs if run.is_cold]
     assert len(cold) >= 12 * 4
 
 
-def _take_all_for_warm():
+def _treat_all_as_warm():
     return mock.patch.object(
         servers.ServerRegistry, "cold_rate_per_s", return_value=None
     )
 
 
-def _trust_an_old_list():
-    """One that is cut off goes on as if nothing had started again."""
+def _trust_stale_list():
+    """Makes an isolated instance assume that no server has restarted."""
 
     async def is_known(self, life, server, may_send):
         return True
@@ -222,36 +224,32 @@
     )
 
 
-def _let_nothing_turn_cold():
+def _never_mark_cold():
     return mock.patch.object(servers.Server, "mark_cold", return_value=None)
 
 
-def _give_all_that_is_asked_for():
+def _grant_every_permit():
     return mock.patch.object(warmups.WarmupLedger, "wait_s", return_value=0.0)
 
 
 @pytest.mark.parametrize(
-    ("put_back", "happen"),
+    ("put_back", "inject"),
     [
-        pytest.param(_take_all_for_warm, _a_domain_comes_back, id="all warm"),
+        pytest.param(_treat_all_as_warm, _restart_domain, id="all warm"),
         pytest.param(
-            _let_nothing_turn_cold,
-            _all_are_taken_back,
+            _never_mark_cold,
+            _evacuate_and_restore_all_domains,
             id="nothing turns cold",
         ),
-        pytest.param(
-            _trust_an_old_list, _some_instances_know_nothing, id="old list"
-        ),
-        pytest.param(
-            _give_all_that_is_asked_for, _all_come_back, id="no budget"
-        ),
+        pytest.param(_trust_stale_list, _isolate_instances, id="old list"),
+        pytest.param(_grant_every_permit, _restart_all_domains, id="no budget"),
     ],
 )
-def test_a_known_fault_is_found(put_back, happen):
-    async def act(scene):
-        await happen(scene)
+def test_a_known_fault_is_found(put_back, inject):
+    async def scenario(scene):
+        await inject(scene)
         await anyio.sleep(4.0)
 
     with put_back():
-        scene = play(act)
-    assert find_overruns(scene)
+        scene = simulate(scenario)
+    assert find_overloads(scene)
