--- a/tests/emulated/test_ownership_model.py
+++ b/tests/emulated/test_ownership_model.py
@@ -1,4 +1,4 @@
-"""All orders of events around one key: what counts as proof, and what not."""
+"""The ownership model of one key, explored over all orders of events."""
 
 import re
 
@@ -6,7 +6,7 @@
 
 from bridgecross_emulator import ownership_model as model
 
-# Events in an order: 50,000 to 100,000 states, 2 to 7 s.
+# Events per order: 50,000 to 100,000 states, 2 to 7 s.
 DEPTH = 9
 
 
@@ -56,16 +56,16 @@
     "server 0 ends",
     "server 0 starts again",
 )
-"""A server releases the key and starts again; its new run has seen no token."""
+"""A server releases the key and restarts; its new run has seen no token."""
 
 
 def test_an_answered_release_holds_for_the_next_run_too():
-    """An earlier leader, cut off, still renews by what it knows.
+    """An isolated earlier leader still renews by its stale state.
 
-    Found by going through all orders of ten events. The server released the
-    range, and started again at once; its new run has seen no token, so it takes
-    the renewal. Within 1.5 s of the earlier leader's confirmation, and only if
-    that one does not hear of the later leader.
+    Found by exploring all orders of ten events. The server released the range
+    and restarted at once; its new run has seen no token, so it takes the
+    renewal. This can happen within 1.5 s of the earlier leader's confirmation,
+    and only if that leader does not learn of the later one.
     """
     events = (
         "instance 1 claims",
@@ -83,7 +83,7 @@
 
 
 def test_a_release_that_an_earlier_leader_may_undo_is_no_proof_yet():
-    """The later leader does not give the key yet, so nobody can take it."""
+    """The later leader does not grant the key yet, so no server can take it."""
     renewed = (
         *RELEASED_AND_RESTARTED,
         "instance 0 renews",
@@ -91,9 +91,9 @@
     )
     given = ("instance 1 gives", "server 1 takes token 2")
     trusting = model.Rules(releases_wait_for_earlier=False)
-    broken = model.replay(trusting, (*renewed, *given))
-    assert model.count_holders(broken) == 2
-    assert broken.refused == ()
+    violating = model.replay(trusting, (*renewed, *given))
+    assert model.count_holders(violating) == 2
+    assert violating.refused == ()
     held = model.replay(model.Rules(), renewed)
     assert model.count_holders(held) <= 1
     assert held.refused == ()
@@ -107,8 +107,8 @@
         model.explore(model.Rules(), 1, first=("instance 1 gives",))
 
 
-def test_the_names_of_events_are_all_that_there_are():
-    """A name that is missing would be an error where it is a refusal."""
+def test_the_list_of_event_names_is_complete():
+    """A missing name would raise an error where the event is only refused."""
     every = model.Rules(refusal_is_proof=True)
     seen: set[str] = set()
     states = {model.START}
@@ -122,8 +122,8 @@
     assert {re.sub(r"\d", "", name) for name in seen} == kinds
 
 
-def test_nothing_that_follows_such_a_release_gives_a_key_two_holders():
-    """All orders of up to twelve events that begin with those five."""
+def test_no_order_after_release_and_restart_gives_a_key_two_holders():
+    """Explores all orders of up to twelve events that begin with those five."""
     first = RELEASED_AND_RESTARTED
     explored = model.explore(model.Rules(), 7, first=first)
     assert explored.violation is None
--- a/tests/emulated/test_search.py
+++ b/tests/emulated/test_search.py
@@ -1,4 +1,4 @@
-"""Random events in virtual time: they find known faults, and no new one."""
+"""Random events in virtual time find all known faults and no new one."""
 
 import json
 
@@ -8,35 +8,35 @@
 from bridgecross_emulator import search
 from tests.emulated import mutants
 
-# Always the same clusters in CI; fresh ones by hand.
+# CI always simulates the same clusters; other seeds are run by hand.
 CI_SEEDS = range(1, 13)
-MOVING_SEEDS = (1, 3)
+KEY_MOVES_SEEDS = (1, 3)
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
-def test_a_random_house_keeps_its_promises(seed):
+def test_a_random_cluster_keeps_its_guarantees(seed):
     assert search.simulate(search.draw(seed)).violations == ()
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
-def test_a_house_keeps_its_promises_beside_planned_work(seed):
+def test_a_cluster_keeps_its_guarantees_during_planned_work(seed):
     events = search.draw_with_planned(seed)
     if events != search.draw(seed):
         assert search.simulate(events).violations == ()
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
-def test_a_house_keeps_its_promises_beside_deadly_requests(seed):
+def test_a_cluster_keeps_its_guarantees_during_poison_requests(seed):
     events = search.draw_all(seed)
     if events != search.draw_with_planned(seed):
         assert search.simulate(events).violations == ()
 
 
-@pytest.mark.parametrize("seed", MOVING_SEEDS)
-def test_a_house_keeps_its_promises_while_keys_move(seed):
-    played = search.simulate(search.draw_key_moves(seed))
-    assert played.violations == ()
-    lines = played.lines
+@pytest.mark.parametrize("seed", KEY_MOVES_SEEDS)
+def test_a_cluster_keeps_its_guarantees_while_keys_move(seed):
+    result = search.simulate(search.draw_key_moves(seed))
+    assert result.violations == ()
+    lines = result.lines
     moves = [line for line in lines if line.event == "keys_move"]
     assert "owner is busier than others" in {m.fields["reason"] for m in moves}
     asked = {line.instance for line in lines if line.event == "request"}
@@ -65,14 +65,14 @@
     assert draw(7) != draw(8)
 
 
-def test_only_the_events_that_are_needed_are_kept():
+def test_shrinking_keeps_only_the_needed_events():
     events = search.draw(1)
     needed = {events[2], events[5]}
     fewest = search.shrink(events, lambda left: needed <= set(left))
     assert set(fewest) == needed
 
 
-def test_a_schedule_is_kept_and_read_again(tmp_path):
+def test_a_schedule_is_saved_and_loaded(tmp_path):
     path = tmp_path / "schedule.json"
     for draw in search.DRAWS.values():
         search.save(path, draw(1), ())
--- a/tests/emulated/test_work.py
+++ b/tests/emulated/test_work.py
@@ -1,4 +1,4 @@
-"""Emulated servers work, give back and take late as real ones do."""
+"""Emulated servers run work, release keys and take late orders as real ones."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,8 +20,8 @@
 _SENDER = model.Address("10.1.0.1", 7_620)
 
 
-class _Bench:
-    """Two servers, and one instance's way to them."""
+class _Fixture:
+    """Two servers, and the lease client of one instance."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self.cluster = cluster
@@ -43,7 +43,7 @@
         ]
 
     async def grant(self, number: int, token: int) -> attempts.GrantResult:
-        """Gives the first keys to a server."""
+        """Grants the first range of keys to a server."""
         return await self.orders.grant(
             self.listed[number],
             0,
@@ -55,20 +55,20 @@
         )
 
     async def release(self, token: int) -> attempts.ReleaseResult:
-        """Takes them back from the first one."""
+        """Releases the range at the first server."""
         return await self.orders.release(
             self.listed[0], 0, 99, token, lambda: True
         )
 
     def begin_work(self, work_s: float) -> None:
-        """Lets the first server work on one of them."""
+        """Starts work on a key of the range at the first server."""
         held = self.servers[0].find(5)
         assert held is not None
         self.servers[0].work.begin(5, work_s, held.until_s, held.timely_until_s)
 
 
-def _play(act: Callable[[_Bench], Awaitable[None]]) -> None:
-    """Plays a cluster without instances."""
+def _simulate(scenario: Callable[[_Fixture], Awaitable[None]]) -> None:
+    """Simulates a cluster without instances."""
     environment = simpy.Environment()
 
     async def main() -> None:
@@ -76,202 +76,212 @@
             settings = clusters.ClusterSettings(
                 instance_count=0, server_count=2
             )
-            await act(_Bench(clusters.Cluster(settings, environment, tasks)))
+            await scenario(
+                _Fixture(clusters.Cluster(settings, environment, tasks))
+            )
 
     virtual.run(environment, main)
 
 
-def test_a_release_is_answered_once_what_ran_has_ended():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
-        begun_s = bench.cluster.now_s
-        assert isinstance(await bench.release(2), attempts.Released)
-        assert 0.29 < bench.cluster.now_s - begun_s < 0.31
+def test_a_release_is_answered_once_running_work_has_ended():
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
+        begun_s = fixture.cluster.now_s
+        assert isinstance(await fixture.release(2), attempts.Released)
+        assert 0.29 < fixture.cluster.now_s - begun_s < 0.31
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_a_second_release_is_answered_while_the_first_waits():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
-        begun_s = bench.cluster.now_s
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
+        begun_s = fixture.cluster.now_s
         with anyio.move_on_after(0.1):
-            await bench.release(2)
-        assert isinstance(await bench.release(2), attempts.Released)
-        assert bench.cluster.now_s - begun_s < 0.11
+            await fixture.release(2)
+        assert isinstance(await fixture.release(2), attempts.Released)
+        assert fixture.cluster.now_s - begun_s < 0.11
 
-    _play(act)
+    _simulate(scenario)
 
 
-def test_a_release_ends_new_work_at_once():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
+def test_a_release_stops_new_work_at_once():
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
         with anyio.move_on_after(0.1):
-            await bench.release(2)
-        assert not bench.servers[0].holds(5)
+            await fixture.release(2)
+        assert not fixture.servers[0].holds(5)
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_work_ends_with_its_lease():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(10.0)
-        begun_s = bench.cluster.now_s
-        await bench.release(2)
-        assert 2.4 < bench.cluster.now_s - begun_s < 2.6
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(10.0)
+        begun_s = fixture.cluster.now_s
+        await fixture.release(2)
+        assert 2.4 < fixture.cluster.now_s - begun_s < 2.6
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_work_goes_on_under_a_renewed_lease():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(4.0)
-        begun_s = bench.cluster.now_s
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(4.0)
+        begun_s = fixture.cluster.now_s
         await anyio.sleep(2.0)
-        await bench.grant(0, 1)
-        await bench.release(2)
-        assert 3.9 < bench.cluster.now_s - begun_s < 4.1
+        await fixture.grant(0, 1)
+        await fixture.release(2)
+        assert 3.9 < fixture.cluster.now_s - begun_s < 4.1
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_the_answer_to_a_release_is_lost_with_its_run():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
         async with anyio.create_task_group() as tasks:
 
             async def crash() -> None:
                 await anyio.sleep(0.1)
-                bench.servers[0].crash()
+                fixture.servers[0].crash()
 
             tasks.start_soon(crash)
-            assert isinstance(await bench.release(2), attempts.NoReply)
+            assert isinstance(await fixture.release(2), attempts.NoReply)
 
-    _play(act)
+    _simulate(scenario)
 
 
 async def _give_up(order: Awaitable[object]) -> None:
-    """Waits for an order for as long as its giver does."""
+    """Waits for an order as long as its sender does, then gives up."""
     with anyio.move_on_after(0.5):
         await order
 
 
 def test_a_late_grant_counts_from_its_arrival():
-    async def act(bench):
-        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
-        begun_s = bench.cluster.now_s
-        await _give_up(bench.grant(0, 1))
-        assert not bench.servers[0].holds(5)
+    async def scenario(fixture):
+        fixture.servers[0].order_faults = servers_lib.OrderFaults(
+            grant_ratio=1.0
+        )
+        begun_s = fixture.cluster.now_s
+        await _give_up(fixture.grant(0, 1))
+        assert not fixture.servers[0].holds(5)
         await anyio.sleep(1.6)
-        held = bench.servers[0].find(5)
+        held = fixture.servers[0].find(5)
         assert 2.4 < held.until_s - begun_s < 2.6
         assert held.timely_until_s == -math.inf
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_a_late_release_is_carried_out_without_an_answer():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.servers[0].order_faults = servers_lib.OrderFaults(
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.servers[0].order_faults = servers_lib.OrderFaults(
             release_ratio=1.0
         )
-        await _give_up(bench.release(2))
-        assert bench.servers[0].holds(5)
+        await _give_up(fixture.release(2))
+        assert fixture.servers[0].holds(5)
         await anyio.sleep(1.6)
-        assert not bench.servers[0].holds(5)
+        assert not fixture.servers[0].holds(5)
 
-    _play(act)
+    _simulate(scenario)
 
 
-def test_a_late_order_does_not_outlive_the_run_that_it_came_to():
-    async def act(bench):
-        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
-        await _give_up(bench.grant(0, 1))
-        bench.servers[0].crash()
-        bench.servers[0].start()
+def test_a_late_order_is_lost_when_its_server_restarts():
+    async def scenario(fixture):
+        fixture.servers[0].order_faults = servers_lib.OrderFaults(
+            grant_ratio=1.0
+        )
+        await _give_up(fixture.grant(0, 1))
+        fixture.servers[0].crash()
+        fixture.servers[0].start()
         await anyio.sleep(1.6)
-        assert not bench.servers[0].holds(5)
+        assert not fixture.servers[0].holds(5)
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_some_orders_are_late():
-    async def act(bench):
-        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=0.5)
+    async def scenario(fixture):
+        fixture.servers[0].order_faults = servers_lib.OrderFaults(
+            grant_ratio=0.5
+        )
         taken = 0
         for token in range(20):
             with contextlib.suppress(TimeoutError), anyio.fail_after(0.1):
-                await bench.grant(0, token)
+                await fixture.grant(0, token)
                 taken += 1
         assert 5 <= taken <= 15
 
-    _play(act)
+    _simulate(scenario)
 
 
-def test_a_key_given_on_while_its_last_holder_works_is_seen():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
+def test_a_key_granted_while_its_last_holder_works_is_detected():
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
         with anyio.move_on_after(0.1):
-            await bench.release(2)
-        await bench.grant(1, 2)
-        seen = bench.cluster.fleet.premature
+            await fixture.release(2)
+        await fixture.grant(1, 2)
+        seen = fixture.cluster.fleet.premature
         assert [(p.server, p.other, p.key) for p in seen] == [("i-1", "i-0", 5)]
-        assert bench.cluster.fleet.overlaps == []
+        assert fixture.cluster.fleet.overlaps == []
 
-    _play(act)
+    _simulate(scenario)
 
 
-def test_a_key_given_on_once_its_last_holder_rests_is_no_fault():
-    async def act(bench):
-        await bench.grant(0, 1)
-        bench.begin_work(0.3)
-        await bench.release(2)
-        await bench.grant(1, 2)
-        assert bench.cluster.fleet.premature == []
+def test_a_key_granted_after_its_last_holder_finished_is_no_violation():
+    async def scenario(fixture):
+        await fixture.grant(0, 1)
+        fixture.begin_work(0.3)
+        await fixture.release(2)
+        await fixture.grant(1, 2)
+        assert fixture.cluster.fleet.premature == []
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_work_under_an_order_that_was_taken_late_does_not_count():
-    async def act(bench):
-        bench.servers[0].order_faults = servers_lib.OrderFaults(grant_ratio=1.0)
-        await _give_up(bench.grant(0, 1))
+    async def scenario(fixture):
+        fixture.servers[0].order_faults = servers_lib.OrderFaults(
+            grant_ratio=1.0
+        )
+        await _give_up(fixture.grant(0, 1))
         await anyio.sleep(1.6)
-        bench.begin_work(0.3)
+        fixture.begin_work(0.3)
         with anyio.move_on_after(0.1):
-            await bench.release(2)
-        await bench.grant(1, 2)
-        assert bench.cluster.fleet.premature == []
+            await fixture.release(2)
+        await fixture.grant(1, 2)
+        assert fixture.cluster.fleet.premature == []
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_an_order_that_was_held_up_in_transit_does_not_count():
-    async def act(bench):
-        network = bench.cluster.network
-        await bench.grant(0, 1)
-        network.cut(_SENDER, bench.servers[1].address)
+    async def scenario(fixture):
+        network = fixture.cluster.network
+        await fixture.grant(0, 1)
+        network.cut(_SENDER, fixture.servers[1].address)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(bench.grant, 1, 2)
+            tasks.start_soon(fixture.grant, 1, 2)
             await anyio.sleep(1.0)
             network.heal()
-        assert bench.servers[1].holds(5)
-        assert bench.cluster.fleet.overlaps == []
+        assert fixture.servers[1].holds(5)
+        assert fixture.cluster.fleet.overlaps == []
 
-    _play(act)
+    _simulate(scenario)
 
 
 def test_a_service_without_keys_is_not_bound_by_leases():
-    async def act(bench):
-        cluster = bench.cluster
+    async def scenario(fixture):
+        cluster = fixture.cluster
         address = model.Address("10.3.0.9", 8_609)
         cluster.fleet.add("f-9", instances.FREE_SERVICE, address)
         work = cluster.fleet.servers[address].work.begin(None, 5.0)
@@ -279,4 +289,4 @@
         await work.ended.wait()
         assert 4.9 < cluster.now_s - begun_s < 5.1
 
-    _play(act)
+    _simulate(scenario)
